--- a/packages/policies/src/sycamorenotch_policies/_measurements.py
+++ b/packages/policies/src/sycamorenotch_policies/_measurements.py
@@ -1,4 +1,4 @@
-"""What measurements are worth: age, absence and contradiction."""
+"""Assessment of worker reports and demand: staleness, absence and contradiction."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 from sycamorenotch_policies._steering_view import SteeringView
 from sycamorenotch_policies._steering_view import WorkerReport
 
-LOW_LOAD = 0.5
-HIGH_LOAD = 0.95
-FAILING = 0.3
-HEALTHY = 0.02
-COLD_SHARE = 0.1
-# Standard deviations of a count that a share is taken too high by.
-DEVIATIONS = 2.0
+LOW_LOAD_SHARE = 0.5
+HIGH_LOAD_SHARE = 0.95
+FAILING_SHARE = 0.3
+HEALTHY_FAILURE_SHARE = 0.02
+COLD_START_SHARE = 0.1
+# Standard deviations by which the bounds allow for noise in a count of requests.
+NOISE_DEVIATIONS = 2.0
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class RegionCapacity:
-    """What the workers of one service in one region can take.
+    """Capacity of the workers of one service in one region.
 
-    :param grantable: slots of the workers that take new work.
-    :param rate: requests per second that the region may be planned for, with
+    :param grantable: slots of the workers that accept new requests.
+    :param rate: requests per second that a plan may route to the region, with
         cold and failing workers counted in part; 0 for a drained region.
-    :param weight: weight of the reports, from 0 to 1, by their age.
+    :param weight: weight of the reports by their age, from 0 (stale) to 1.
     """
 
     grantable: int
@@ -48,7 +48,7 @@
 
     @property
     def lost(self) -> bool:
-        """Whether the reports say that nothing can run here."""
+        """Whether current reports show no usable worker."""
         return self.weight > 0 and not self.grantable
 
 
@@ -59,33 +59,33 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Assessment:
-    """Capacity and demand that a plan may rely on.
+    """Capacity and demand that a plan is based on.
 
-    :param capacities: by region and service.
+    :param capacities: capacity by region and service.
     :param rates: requests per second by service, client region and rank.
     :param window: shortest time over which a rate was averaged.
-    :param held: services whose demand is unknown, so that routes stay.
+    :param unmeasured: services whose demand is unknown or stale; their routes stay.
     """
 
     capacities: Capacities
     rates: Rates
     window: timedelta
-    held: frozenset[str]
+    unmeasured: frozenset[str]
     events: tuple[Event, ...]
 
-    def highest_share(self, service: str, rate: float) -> float:
-        """Return a route's share of a service that noise hardly exceeds.
+    def upper_share(self, service: str, rate: float) -> float:
+        """Return an upper bound of a route's share of a service, from 0 to 1.
 
         :param rate: measured requests per second of the route.
         """
         total = self.total(service)
         window_s = self.window.total_seconds()
-        highest = rate + DEVIATIONS * sqrt(rate / window_s)
-        lowest = total - DEVIATIONS * sqrt(total / window_s)
+        highest = rate + NOISE_DEVIATIONS * sqrt(rate / window_s)
+        lowest = total - NOISE_DEVIATIONS * sqrt(total / window_s)
         return min(1.0, highest / lowest) if lowest > 0 else 1.0
 
     def total(self, service: str) -> float:
-        """Return the whole demand for a service, in requests per second."""
+        """Return the total demand for a service in requests per second."""
         return sum(rate for key, rate in self.rates.items() if key[0] == service)
 
 
@@ -95,7 +95,7 @@
 
 
 def assess(view: SteeringView) -> Assessment:
-    """Weigh the measurements of a view."""
+    """Assess capacity and demand from the measurements of a view."""
     reports = {report.worker: report for report in view.workers}
     events: list[Event] = []
     capacities = {
@@ -104,11 +104,11 @@
             view.environment.regions, view.environment.services
         )
     }
-    held = frozenset(_without_demand(view))
-    events.extend(DemandStale(service) for service in sorted(held))
+    unmeasured = frozenset(_unmeasured_services(view))
+    events.extend(DemandStale(service) for service in sorted(unmeasured))
     rates = {(d.service, d.source, d.rank): d.rate for d in view.demands}
     window = min((d.window for d in view.demands), default=timedelta(seconds=1))
-    return Assessment(capacities, rates, window, held, tuple(events))
+    return Assessment(capacities, rates, window, unmeasured, tuple(events))
 
 
 def _capacity(
@@ -120,20 +120,20 @@
 ) -> RegionCapacity:
     environment = view.environment
     workers = [w for w in environment.workers_of(service) if w.region == region]
-    known = [(w, reports[w.name]) for w in workers if w.name in reports]
+    reported = [(w, reports[w.name]) for w in workers if w.name in reports]
     stale_after = environment.bounds.stale_after
-    weight = max((age_weight(r.age, stale_after) for _, r in known), default=0.0)
-    if workers and not known:
+    weight = max((age_weight(r.age, stale_after) for _, r in reported), default=0.0)
+    if workers and not reported:
         events.append(MeasurementMissing(service, region))
-    elif known and not weight:
-        youngest = min(report.age for _, report in known)
+    elif reported and not weight:
+        youngest = min(report.age for _, report in reported)
         events.append(MeasurementStale(service, region, youngest.total_seconds()))
-    # A worker without a report keeps the capacity that the document states.
+    # A worker without a report counts with the slots that the document states.
     parts = [
         _usable_share(environment, reports.get(worker.name)) * worker.slots
         for worker in workers
     ]
-    events.extend(_contradictions(environment, known))
+    events.extend(_contradictions(environment, reported))
     grantable = sum(
         worker.slots for worker, part in zip(workers, parts, strict=True) if part
     )
@@ -149,34 +149,34 @@
         return 1.0
     if not report.usable:
         return 0.0
-    ramp = min(1.0, report.in_service / environment.bounds.cold_start)
-    trust = 1.0 - report.failures if report.failures > HEALTHY else 1.0
-    return max(COLD_SHARE, ramp) * trust
+    warm_up = min(1.0, report.in_service / environment.bounds.cold_start)
+    success = 1.0 - report.failures if report.failures > HEALTHY_FAILURE_SHARE else 1.0
+    return max(COLD_START_SHARE, warm_up) * success
 
 
 def _contradictions(
-    environment: Environment, known: list[tuple[Worker, WorkerReport]]
+    environment: Environment, reported: list[tuple[Worker, WorkerReport]]
 ) -> Iterator[Event]:
-    for worker, report in known:
+    for worker, report in reported:
         if report.load is None:
             continue
         service_time = environment.services[worker.service].service_time
         quick = report.latency is not None and report.latency <= 2 * service_time
-        healthy = report.failures <= HEALTHY
-        if report.load <= LOW_LOAD and report.failures >= FAILING:
-            detail = "it reports little load while requests fail"
-        elif report.load >= HIGH_LOAD and quick and healthy:
-            detail = "it reports full load while requests are answered quickly"
+        healthy = report.failures <= HEALTHY_FAILURE_SHARE
+        if report.load <= LOW_LOAD_SHARE and report.failures >= FAILING_SHARE:
+            detail = "the worker reports low load while requests fail"
+        elif report.load >= HIGH_LOAD_SHARE and quick and healthy:
+            detail = "the worker reports full load while requests succeed quickly"
         else:
             continue
         yield ReportContradicted(worker.name, report.load, report.failures, detail)
 
 
-def _without_demand(view: SteeringView) -> Iterator[str]:
+def _unmeasured_services(view: SteeringView) -> Iterator[str]:
     stale_after = view.environment.bounds.stale_after
     for service in view.environment.services:
-        known = [d for d in view.demands if d.service == service]
-        if not known or any(_is_stale(demand, stale_after) for demand in known):
+        reported = [d for d in view.demands if d.service == service]
+        if not reported or any(_is_stale(demand, stale_after) for demand in reported):
             yield service
 
 
--- a/packages/policies/src/sycamorenotch_policies/_steering.py
+++ b/packages/policies/src/sycamorenotch_policies/_steering.py
@@ -1,4 +1,4 @@
-"""Makes the plan with the policy that the document names."""
+"""Selection of the steering policy that the environment document names."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 
 
 def make_plan(view: SteeringView, previous: Plan | None, now: datetime) -> PlanDecision:
-    """Make the next plan with the policy that the document names.
+    """Make the next plan with the policy that the environment document names.
 
-    :param previous: the plan in force, also one of another holder.
-    :param now: wall clock time of the holder.
+    :param previous: the plan in force; another lease holder may have made it.
+    :param now: wall clock time of the lease holder.
+    :return: the plan and whether it has to be written.
     """
     name = view.environment.policies.get("steering", DEFAULT_POLICY)
     policy = cast(MakePlan, steering_policies.get(name))
--- a/packages/policies/src/sycamorenotch_policies/_steering_events.py
+++ b/packages/policies/src/sycamorenotch_policies/_steering_events.py
@@ -1,4 +1,4 @@
-"""Events of steering and of grants."""
+"""Events of traffic steering and grants."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class MeasurementStale(Event):
-    """Reports of a region are too old; no traffic is moved to it."""
+    """Worker reports of a region are too old; no traffic is moved to it."""
 
     service: str
     region: str
@@ -25,7 +25,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class MeasurementMissing(Event):
-    """No worker of a region is reported; its last safe routes stay."""
+    """No worker of a region has a report; the routes in force stay."""
 
     service: str
     region: str
@@ -35,7 +35,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ReportContradicted(Event):
-    """A worker's report does not fit what requests to it saw."""
+    """A worker's report contradicts the outcome of requests sent to it."""
 
     worker: str
     reported_load: float
@@ -47,7 +47,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class DemandStale(Event):
-    """Demand for a service is unknown or too old; its routes stay."""
+    """Demand for a service is unknown or stale; its routes stay."""
 
     service: str
 
@@ -71,7 +71,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ShiftDeferred(Event):
-    """Traffic could not move yet: the limit names what held it back."""
+    """A move of traffic was deferred by a limit."""
 
     service: str
     rank: str
@@ -94,7 +94,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class InstanceGone(Event):
-    """The grants of an instance were freed after the grace."""
+    """The grants of a gone instance were freed after the grace period."""
 
     instance: str
 
@@ -103,7 +103,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LoansLapsed(Event):
-    """An instance is silent; its loans have lapsed and its floors stay."""
+    """An unconfirmed instance lost its loans and keeps its floors."""
 
     instance: str
     silence_s: float
--- a/packages/policies/src/sycamorenotch_policies/_steering_headroom.py
+++ b/packages/policies/src/sycamorenotch_policies/_steering_headroom.py
@@ -1,4 +1,4 @@
-"""Steers by latency, headroom, link budgets and rank, under the shift cap."""
+"""Steering by latency, headroom, link budgets and rank, under the shift cap."""
 
 from __future__ import annotations
 
@@ -18,35 +18,37 @@
 from sycamorenotch_policies._measurements import Assessment
 from sycamorenotch_policies._measurements import assess
 from sycamorenotch_policies._steering_moves import Move
-from sycamorenotch_policies._steering_moves import Mover
+from sycamorenotch_policies._steering_moves import MovePlanner
 from sycamorenotch_policies._steering_occupancy import RouteKey
 from sycamorenotch_policies._steering_occupancy import Shares
 from sycamorenotch_policies._steering_view import PlanDecision
 from sycamorenotch_policies._steering_view import SteeringView
 
-# Use of the home region up to which moved traffic returns; the gap to the
-# limit for moves away keeps routes from swinging back and forth.
-RETURN_LIMIT = 0.7
+# Utilisation of the home region up to which moved traffic returns. The gap to
+# UTILISATION_LIMIT is hysteresis, which keeps routes from oscillating.
+RETURN_UTILISATION = 0.7
 
-Wishes = Callable[[SteeringView, Assessment, Mover, RouteKey], Iterator[Move]]
+MoveProposer = Callable[
+    [SteeringView, Assessment, MovePlanner, RouteKey], Iterator[Move]
+]
 
 
 @steering_policies.register("headroom")
 def headroom(view: SteeringView, previous: Plan | None, now: datetime) -> PlanDecision:
-    """Make the next plan within the cap, headroom and link budgets."""
+    """Make the next plan within the shift cap, headroom and link budgets."""
     assessment = assess(view)
-    shares = _shares_in_force(view.environment, previous)
-    mover = Mover(view.environment, assessment, shares, previous, now)
-    # Every rank's failover comes before any planned move, and within each
-    # step the most urgent rank comes first.
-    for wishes in (_off_lost, _off_drained, _off_full, _back_home):
+    shares = _current_shares(view.environment, previous)
+    planner = MovePlanner(view.environment, assessment, shares, previous, now)
+    # The shift cap is used for failover of every rank before any planned move,
+    # and within each step for the most urgent rank first.
+    for propose in (_failover_moves, _drain_moves, _overload_moves, _return_moves):
         for key in sorted(shares):
-            if key.service not in assessment.held:
-                for move in wishes(view, assessment, mover, key):
-                    mover.carry_out(move)
+            if key.service not in assessment.unmeasured:
+                for move in propose(view, assessment, planner, key):
+                    planner.execute(move)
     routes = _routes(shares)
     grants = split_capacity(view, assessment, routes, previous)
-    return _decision(view, previous, now, assessment, mover, routes, grants)
+    return _decision(view, previous, now, assessment, planner, routes, grants)
 
 
 def _decision(
@@ -54,7 +56,7 @@
     previous: Plan | None,
     now: datetime,
     assessment: Assessment,
-    mover: Mover,
+    planner: MovePlanner,
     routes: tuple[PlanRoute, ...],
     grants: GrantDecision,
 ) -> PlanDecision:
@@ -66,10 +68,10 @@
         routes=routes,
         grants=grants.grants,
         outstanding=grants.outstanding,
-        shifts=mover.ledger.shifts,
+        shifts=planner.ledger.shifts,
     )
-    events = (*assessment.events, *mover.events, *grants.events)
-    return PlanDecision(plan, _differs(plan, previous), _reasons(mover), events)
+    events = (*assessment.events, *planner.events, *grants.events)
+    return PlanDecision(plan, _differs(plan, previous), _reasons(planner), events)
 
 
 def _differs(plan: Plan, previous: Plan | None) -> bool:
@@ -84,18 +86,18 @@
     )
 
 
-def _reasons(mover: Mover) -> tuple[str, ...]:
+def _reasons(planner: MovePlanner) -> tuple[str, ...]:
     described = tuple(
         f"{item.name}: "
         + ", ".join(f"{name} {value}" for name, value in item.fields().items())
         + "."
-        for item in mover.events
+        for item in planner.events
     )
     return described or ("No traffic had to move.",)
 
 
-def _shares_in_force(environment: Environment, previous: Plan | None) -> Shares:
-    known = {
+def _current_shares(environment: Environment, previous: Plan | None) -> Shares:
+    in_force = {
         RouteKey(route.rank, route.service, route.source): {
             item.region: item.share
             for item in route.shares
@@ -108,10 +110,12 @@
         RouteKey(rank, service, source)
         for (rank, service), source in product(pairs, environment.regions)
     )
-    return {key: known.get(key) or {_home(environment, key): 1.0} for key in keys}
+    return {
+        key: in_force.get(key) or {_home_region(environment, key): 1.0} for key in keys
+    }
 
 
-def _home(environment: Environment, key: RouteKey) -> str:
+def _home_region(environment: Environment, key: RouteKey) -> str:
     present = {worker.region for worker in environment.workers_of(key.service)}
     if key.source in present or not present:
         return key.source
@@ -124,53 +128,62 @@
     )
 
 
-def _off_lost(
-    view: SteeringView, assessment: Assessment, mover: Mover, key: RouteKey
+def _failover_moves(
+    view: SteeringView, assessment: Assessment, planner: MovePlanner, key: RouteKey
 ) -> Iterator[Move]:
-    for region, share in tuple(mover.shares[key].items()):
+    for region, share in tuple(planner.shares[key].items()):
         if share and assessment.capacities[region, key.service].lost:
-            rate = share * mover.occupancy.rate(key)
-            targets = mover.nearest(key, (region,))
+            rate = share * planner.occupancy.rate(key)
+            targets = planner.nearest(key, (region,))
             yield Move(key, region, rate, targets, ShiftCause.FAILOVER)
 
 
-def _off_drained(
-    view: SteeringView, assessment: Assessment, mover: Mover, key: RouteKey
+def _drain_moves(
+    view: SteeringView, assessment: Assessment, planner: MovePlanner, key: RouteKey
 ) -> Iterator[Move]:
-    for region, share in tuple(mover.shares[key].items()):
+    for region, share in tuple(planner.shares[key].items()):
         lost = assessment.capacities[region, key.service].lost
         if share and region in view.drained and not lost:
-            rate = share * mover.occupancy.rate(key)
-            targets = mover.nearest(key, view.drained)
+            rate = share * planner.occupancy.rate(key)
+            targets = planner.nearest(key, view.drained)
             yield Move(key, region, rate, targets, ShiftCause.PLANNED)
 
 
-def _off_full(
-    view: SteeringView, assessment: Assessment, mover: Mover, key: RouteKey
+def _overload_moves(
+    view: SteeringView, assessment: Assessment, planner: MovePlanner, key: RouteKey
 ) -> Iterator[Move]:
-    for region, share in tuple(mover.shares[key].items()):
+    for region, share in tuple(planner.shares[key].items()):
         lost = assessment.capacities[region, key.service].lost
         if not share or lost or region in view.drained:
             continue
         rate = min(
-            share * mover.occupancy.rate(key), mover.occupancy.excess(key, region)
+            share * planner.occupancy.rate(key), planner.occupancy.excess(key, region)
         )
-        targets = mover.nearest(key, (region,))
+        targets = planner.nearest(key, (region,))
         if rate:
             yield Move(key, region, rate, targets, ShiftCause.PLANNED)
 
 
-def _back_home(
-    view: SteeringView, assessment: Assessment, mover: Mover, key: RouteKey
+def _return_moves(
+    view: SteeringView, assessment: Assessment, planner: MovePlanner, key: RouteKey
 ) -> Iterator[Move]:
-    home = _home(view.environment, key)
-    if home in view.drained:
+    home_region = _home_region(view.environment, key)
+    if home_region in view.drained:
         return
-    for region, share in tuple(mover.shares[key].items()):
-        if share and region != home:
-            room = mover.occupancy.room(key, home, RETURN_LIMIT)
-            rate = min(share * mover.occupancy.rate(key), room)
-            yield Move(key, region, rate, (home,), ShiftCause.PLANNED, RETURN_LIMIT)
+    for region, share in tuple(planner.shares[key].items()):
+        if share and region != home_region:
+            spare_rate = planner.occupancy.spare_rate(
+                key, home_region, RETURN_UTILISATION
+            )
+            rate = min(share * planner.occupancy.rate(key), spare_rate)
+            yield Move(
+                key,
+                region,
+                rate,
+                (home_region,),
+                ShiftCause.PLANNED,
+                RETURN_UTILISATION,
+            )
 
 
 def _routes(shares: Shares) -> tuple[PlanRoute, ...]:
--- a/packages/policies/src/sycamorenotch_policies/_steering_moves.py
+++ b/packages/policies/src/sycamorenotch_policies/_steering_moves.py
@@ -1,4 +1,4 @@
-"""Moves of traffic between regions, each within every limit."""
+"""Moves of traffic between regions within headroom, link budget and shift cap."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from sycamorenotch_policies._measurements import Assessment
 from sycamorenotch_policies._steering_events import ShiftDeferred
 from sycamorenotch_policies._steering_events import TrafficShifted
-from sycamorenotch_policies._steering_occupancy import COLD_COST
-from sycamorenotch_policies._steering_occupancy import USE_LIMIT
+from sycamorenotch_policies._steering_occupancy import COLD_CACHE_COST
+from sycamorenotch_policies._steering_occupancy import UTILISATION_LIMIT
 from sycamorenotch_policies._steering_occupancy import Occupancy
 from sycamorenotch_policies._steering_occupancy import RouteKey
 from sycamorenotch_policies._steering_occupancy import Shares
 
-# Part of the cap that is planned for; demand may change before the next plan.
-CAP_MARGIN = 0.9
-# Smallest move worth a plan, as a share of a service's traffic.
-SMALLEST_SHIFT = 0.002
+# Share of the cap that plans use; demand may change before the next plan.
+PLANNED_CAP_SHARE = 0.9
+# Smaller moves are skipped, as a share of a service's traffic.
+MIN_SHIFT_SHARE = 0.002
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class Move:
-    """A wish to move part of a route.
+    """A proposed move of part of a route to another region.
 
     :param rate: requests per second to move.
     :param targets: regions that may take them, the nearest first.
-    :param limit: use of the target up to which it may be filled.
+    :param limit: utilisation up to which a target may be filled, from 0 to 1.
     """
 
     key: RouteKey
@@ -44,14 +44,14 @@
     rate: float
     targets: tuple[str, ...]
     cause: ShiftCause
-    limit: float = USE_LIMIT
+    limit: float = UTILISATION_LIMIT
 
 
 @final
-class Mover:
-    """Carries out moves on a copy of the routes in force.
+class MovePlanner:
+    """Applies moves to the routes of the next plan and accounts for their load.
 
-    :param shares: serving regions of every route, which the moves change.
+    :param shares: serving regions of every route; the moves modify them.
     """
 
     def __init__(
@@ -68,11 +68,14 @@
         self.shares = shares
         self.ledger = ShiftLedger.of(environment, previous, now)
         self.occupancy = Occupancy(environment, assessment, shares)
-        self.occupancy.add_recent(self.ledger.shifts, now)
+        self.occupancy.add_recent_shifts(self.ledger.shifts, now)
         self.events: list[Event] = []
 
     def nearest(self, key: RouteKey, without: Iterable[str]) -> tuple[str, ...]:
-        """Return the regions that can answer a route in time, nearest first."""
+        """Return the regions that can answer a route in time, nearest first.
+
+        :param without: regions to leave out.
+        """
         excluded = set(without)
         deadline = self._environment.ranks[key.rank].deadline
         latencies = {
@@ -83,17 +86,17 @@
         in_time = [name for name, found in latencies.items() if found < deadline / 2]
         return tuple(sorted(in_time, key=lambda name: (latencies[name], name)))
 
-    def carry_out(self, move: Move) -> None:
-        """Move as much as every limit allows and report the rest."""
-        left, limits = move.rate, []
+    def execute(self, move: Move) -> None:
+        """Move as much as every limit allows and report the remainder as deferred."""
+        remaining, limits = move.rate, []
         total = self._assessment.total(move.key.service)
-        if left <= SMALLEST_SHIFT * total:
+        if remaining <= MIN_SHIFT_SHARE * total:
             return
         for target in move.targets:
-            moved, limit = self._shift(move, target, left, total)
-            left -= moved
+            moved, limit = self._shift(move, target, remaining, total)
+            remaining -= moved
             limits.append(limit)
-            if left <= SMALLEST_SHIFT * total:
+            if remaining <= MIN_SHIFT_SHARE * total:
                 return
         limit = "shift cap" if "shift cap" in limits else ", ".join(sorted(set(limits)))
         self.events.append(
@@ -101,7 +104,7 @@
                 move.key.service,
                 move.key.rank.label,
                 move.source,
-                round(left / total, 4),
+                round(remaining / total, 4),
                 limit or "no other region",
             )
         )
@@ -110,18 +113,22 @@
         self, move: Move, target: str, wanted: float, total: float
     ) -> tuple[float, str]:
         key = move.key
-        cap_room = self.ledger.room(key.service) - (1 - CAP_MARGIN) * self.ledger.cap
+        cap_left = (
+            self.ledger.available(key.service)
+            - (1 - PLANNED_CAP_SHARE) * self.ledger.cap
+        )
         route_rate = self.occupancy.rate(key)
-        # A part of the route costs that part of the route's highest share.
-        cost = self._assessment.highest_share(key.service, route_rate) / route_rate
-        rooms = {
-            "headroom": self.occupancy.room(key, target, move.limit) / COLD_COST,
-            "link budget": self.occupancy.link_room(key, target),
-            "shift cap": max(0.0, cap_room) / cost,
+        # A move uses the cap in proportion to the upper bound of the route's share.
+        cost = self._assessment.upper_share(key.service, route_rate) / route_rate
+        allowed = {
+            "headroom": self.occupancy.spare_rate(key, target, move.limit)
+            / COLD_CACHE_COST,
+            "link budget": self.occupancy.spare_link_rate(key, target),
+            "shift cap": max(0.0, cap_left) / cost,
         }
-        limit = min(rooms, key=rooms.__getitem__)
-        rate = min(wanted, rooms[limit])
-        if rate <= SMALLEST_SHIFT * total:
+        limit = min(allowed, key=allowed.__getitem__)
+        rate = min(wanted, allowed[limit])
+        if rate <= MIN_SHIFT_SHARE * total:
             return 0.0, limit
         self._apply(move, target, rate, rate * cost)
         return rate, limit
@@ -135,8 +142,8 @@
         self.ledger = self.ledger.add(
             Shift(key.service, move.source, target, share, self._now, move.cause)
         )
-        self.occupancy.place(key, target, rate, COLD_COST)
-        self.occupancy.remove(key, move.source, rate)
+        self.occupancy.add_load(key, target, rate, COLD_CACHE_COST)
+        self.occupancy.remove_load(key, move.source, rate)
         self.events.append(
             TrafficShifted(
                 key.service,
--- a/packages/policies/src/sycamorenotch_policies/_steering_nearest.py
+++ b/packages/policies/src/sycamorenotch_policies/_steering_nearest.py
@@ -1,4 +1,4 @@
-"""Baseline that sends every client to its own region."""
+"""Baseline policy that routes every client region to itself."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @steering_policies.register("nearest")
 def nearest(view: SteeringView, previous: Plan | None, now: datetime) -> PlanDecision:
-    """Route each client region to itself and grant nothing."""
+    """Route each client region to itself and make no grants."""
     environment = view.environment
     routes = tuple(
         PlanRoute(service, source, rank, (RegionShare(source, 1.0),))
--- a/packages/policies/src/sycamorenotch_policies/_steering_view.py
+++ b/packages/policies/src/sycamorenotch_policies/_steering_view.py
@@ -1,4 +1,4 @@
-"""Inputs and outputs of the steering policies."""
+"""Inputs and results of steering policies."""
 
 from __future__ import annotations
 
@@ -20,12 +20,13 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Requests that clients of one region offer, summed over the instances.
+    """Request rate that clients of one region offer, summed over the instances.
 
+    :param source: region of the clients.
     :param rate: requests per second, refused ones included.
-    :param age: time since the oldest part of the sum was measured.
-    :param window: time over which the rate was averaged; the shorter it is, the
-        more is kept free below the shift cap.
+    :param age: time since the oldest measurement in the sum.
+    :param window: time over which the rate was averaged. A shorter window has
+        more noise, so that less of the shift cap is used.
     """
 
     service: str
@@ -39,14 +40,14 @@
 @final
 @dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """What is known about one upstream worker.
+    """Health and load of one upstream worker.
 
-    :param usable: whether new work may be sent to it at all.
-    :param load: reported load as a share of its slots, if it reports any.
+    :param usable: whether new requests may be sent to it.
+    :param load: reported load as a share of its slots; None if it reports none.
     :param age: time since the report was made.
-    :param failures: share of the instances' own requests to it that failed.
-    :param latency: time that the instances saw a request take on it.
-    :param in_service: time since it was first seen to answer, for the ramp.
+    :param failures: failed share of the instances' own requests to it, from 0 to 1.
+    :param latency: request latency that the instances measured.
+    :param in_service: time since its first observed answer, for the warm-up.
     """
 
     worker: str
@@ -61,14 +62,14 @@
 @final
 @dataclass(frozen=True, slots=True)
 class InstanceContact:
-    """What the holder knows of an instance's plan.
+    """Plan confirmation state of an instance, as the lease holder knows it.
 
-    :param sequence: highest plan sequence that the instance confirmed to be in
-        force, with its requests in flight inside the grants; -1 if none.
+    :param sequence: highest plan sequence that the instance confirmed as in force,
+        with its requests in flight within the grants; -1 if none.
     :param silence: time since the holder last confirmed a loan to it, or since
-        the holder took the lease if it has not yet done so.
-    :param gone: time since the platform's list stopped to name the instance;
-        None while it names it.
+        the holder acquired the lease if it has confirmed none.
+    :param gone: time since the platform's list dropped the instance; None while
+        it is listed.
     """
 
     instance: InstanceId
@@ -80,11 +81,12 @@
 @final
 @dataclass(frozen=True, slots=True)
 class SteeringView:
-    """Everything that a steering policy decides from.
+    """Input of a steering policy.
 
-    :param holder: instance that makes the plan.
+    :param generation: generation of the environment document.
+    :param holder: lease holder, which makes the plan.
     :param instances: the platform's list, this instance included.
-    :param drained: regions that an operator has told to drain.
+    :param drained: regions that an operator drains.
     """
 
     environment: Environment
@@ -100,11 +102,12 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PlanDecision:
-    """The plan to put in force.
+    """Result of a steering policy.
 
+    :param plan: the plan to put in force.
     :param changed: whether it differs from the previous plan in more than its
         sequence and time; an unchanged plan need not be written.
-    :param reasons: whole sentences, the most important first.
+    :param reasons: full sentences for operators, the most important first.
     :param events: events to emit with the decision.
     """
 
@@ -115,14 +118,14 @@
 
 
 class MakePlan(Protocol):
-    """A steering policy, registered by its name in the document."""
+    """Signature of a steering policy, registered under its name in the document."""
 
     def __call__(
         self, view: SteeringView, previous: Plan | None, now: datetime
     ) -> PlanDecision:
         """Make the next plan.
 
-        :param previous: the plan in force, also one of another holder.
-        :param now: wall clock time of the holder.
+        :param previous: the plan in force; another lease holder may have made it.
+        :param now: wall clock time of the lease holder.
         """
         ...
--- a/testing/policies/test_ledger.py
+++ b/testing/policies/test_ledger.py
@@ -45,7 +45,7 @@
     for seconds, wanted, holder in steps:
         now += timedelta(seconds=seconds)
         ledger = ShiftLedger.of(VATUKOULA, plan, now)
-        share = min(wanted, ledger.room("balance"))
+        share = min(wanted, ledger.available("balance"))
         ledger = ledger.add(shift(share, now))
         made.append((now, share))
         plan = plan_of(ledger, holder, now)
@@ -62,11 +62,11 @@
 
 def test_other_service_keeps_its_room_when_one_moved() -> None:
     ledger = ShiftLedger.of(VATUKOULA, None, START).add(shift(0.1, START))
-    assert ledger.room("issuing") == VATUKOULA.shift.cap
+    assert ledger.available("issuing") == VATUKOULA.shift.cap
 
 
 def test_move_counts_when_clock_of_new_holder_is_behind() -> None:
     ledger = ShiftLedger.of(VATUKOULA, None, START).add(shift(0.1, START))
     plan = plan_of(ledger, "a", START)
     later = ShiftLedger.of(VATUKOULA, plan, START - timedelta(seconds=30))
-    assert later.room("balance") == 0
+    assert later.available("balance") == 0
