--- a/packages/policies/src/sycamorenotch_policies/_grant_wants.py
+++ b/packages/policies/src/sycamorenotch_policies/_demand_weights.py
@@ -1,4 +1,4 @@
-"""How much of each region's capacity each instance is likely to need."""
+"""Estimated need of each instance for the capacity of each region."""
 
 from __future__ import annotations
 
@@ -13,40 +13,45 @@
 from sycamorenotch_policies._measurements import Assessment
 from sycamorenotch_policies._steering_view import SteeringView
 
-# Weight that each instance has in its own region beside measured demand, so
-# that it can serve the first requests after a quiet time.
-BASE_WEIGHT = 0.1
+# Share of a region's capacity that is split over its instances regardless of
+# demand, so that each can serve the first requests after an idle time.
+BASE_WEIGHT_SHARE = 0.1
 
-Wants = dict[tuple[str, str], dict[InstanceId, float]]
+DemandWeights = dict[tuple[str, str], dict[InstanceId, float]]
 
 
-def instance_wants(
+def instance_demand_weights(
     view: SteeringView, assessment: Assessment, routes: tuple[PlanRoute, ...]
-) -> Wants:
-    """Weigh instances by the demand that look-ups lead through them."""
-    entries = _Entries(view)
-    wants: defaultdict[tuple[str, str], defaultdict[InstanceId, float]] = defaultdict(
-        lambda: defaultdict(float)
+) -> DemandWeights:
+    """Weigh instances by the demand that look-ups route through them.
+
+    :return: weight in requests per second of each instance, by region and service.
+    """
+    entries = _EntryInstances(view)
+    demand_weights: defaultdict[tuple[str, str], defaultdict[InstanceId, float]] = (
+        defaultdict(lambda: defaultdict(float))
     )
     for service, source in sorted({(r.service, r.source) for r in routes}):
         related = [r for r in routes if (r.service, r.source) == (service, source)]
         first = min(related, key=lambda route: route.rank)
-        spread = entries.spread(first)
+        shares_of_route = entries.shares_of_route(first)
         for route in related:
             rate = assessment.rates.get((service, source, route.rank), 0.0)
             for item in route.shares:
-                for name, part in spread.items():
-                    wants[item.region, service][name] += rate * item.share * part
-    for pool, capacity in assessment.capacities.items():
-        base = max(1.0, capacity.rate) * BASE_WEIGHT
-        for name, part in entries.of(pool[0]).items():
-            wants[pool][name] += base * part
-    return {pool: dict(found) for pool, found in wants.items()}
+                for name, part in shares_of_route.items():
+                    demand_weights[item.region, service][name] += (
+                        rate * item.share * part
+                    )
+    for pool_key, capacity in assessment.capacities.items():
+        base = max(1.0, capacity.rate) * BASE_WEIGHT_SHARE
+        for name, part in entries.shares_of_region(pool_key[0]).items():
+            demand_weights[pool_key][name] += base * part
+    return {pool_key: dict(found) for pool_key, found in demand_weights.items()}
 
 
 @final
-class _Entries:
-    """The live instances that callers of a region are sent to."""
+class _EntryInstances:
+    """Live instances that receive the callers of a region."""
 
     def __init__(self, view: SteeringView) -> None:
         live = [i for i in view.instances if i.state is InstanceState.LIVE]
@@ -57,17 +62,19 @@
             for region, items in groupby(ordered, key=lambda item: item.region)
         }
 
-    def of(self, region: str) -> dict[InstanceId, float]:
-        """Return the share of each instance that takes a region's callers."""
+    def shares_of_region(self, region: str) -> dict[InstanceId, float]:
+        """Return the share of a region's callers that each instance receives."""
         names = self._by_region.get(self._nearest(region), [])
         return {name: 1.0 / len(names) for name in names}
 
-    def spread(self, route: PlanRoute) -> dict[InstanceId, float]:
-        """Return the share of a route's callers that each instance takes."""
+    def shares_of_route(self, route: PlanRoute) -> dict[InstanceId, float]:
+        """Return the share of a route's callers that each instance receives."""
         found: defaultdict[InstanceId, float] = defaultdict(float)
         for item in route.shares:
-            place = item.region if item.region in self._by_region else route.source
-            for name, part in self.of(place).items():
+            entry_region = (
+                item.region if item.region in self._by_region else route.source
+            )
+            for name, part in self.shares_of_region(entry_region).items():
                 found[name] += item.share * part
         return dict(found)
 
--- a/packages/policies/src/sycamorenotch_policies/_distribution.py
+++ b/packages/policies/src/sycamorenotch_policies/_distribution.py
@@ -1,4 +1,4 @@
-"""How a configuration reaches an instance and when it may serve."""
+"""Distribution of configuration texts to instances and their confirmation."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 from sycamorenotch_policies._difference import apply_difference
 from sycamorenotch_policies._difference import difference
 
-HISTORY = 4
+HISTORY_LENGTH = 4
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class ConfigurationText:
-    """A document as it is stored.
+    """A configuration document as stored.
 
     :param digest: SHA-256 of the text.
+    :param text: the document, encoded as in the store.
     """
 
     generation: int
@@ -28,32 +29,34 @@
 
     @classmethod
     def of(cls, generation: int, text: bytes) -> ConfigurationText:
-        """Return the text with its digest."""
+        """Return a configuration text with its computed digest."""
         return cls(generation, sha256(text).digest(), text)
 
 
 @final
 class ConfigurationHistory:
-    """The newest few texts, from which differences are made and applied."""
+    """The newest few texts, as bases for making and applying differences."""
 
     def __init__(self) -> None:
         self._texts: OrderedDict[int, ConfigurationText] = OrderedDict()
 
     def add(self, text: ConfigurationText) -> None:
-        """Keep a text that is in force now."""
+        """Add the text that is in force now; the oldest one is dropped."""
         self._texts[text.generation] = text
-        if len(self._texts) > HISTORY:
+        if len(self._texts) > HISTORY_LENGTH:
             self._texts.popitem(last=False)
 
     @property
     def newest(self) -> ConfigurationText | None:
-        """The text in force."""
+        """The text in force, or None before the first."""
         return next(reversed(self._texts.values()), None)
 
     def push_to(self, generation: int) -> ConfigurationPush | None:
-        """Return what a peer at a generation needs, or none if it is as new.
+        """Return the push that brings a peer up to date, or None if it is current.
 
         :param generation: generation in force at the peer; 0 for none.
+        :return: a difference to that generation, or the whole text if its base is
+            not in the history.
         """
         newest = self.newest
         if newest is None or newest.generation <= generation:
@@ -68,7 +71,7 @@
         )
 
     def text_of(self, push: ConfigurationPush) -> ConfigurationText | None:
-        """Return the pushed text, or none if its base is missing or it is damaged."""
+        """Return the text of a push, or None if it is damaged or lacks its base."""
         base = b""
         if push.base:
             known = self._texts.get(push.base)
@@ -84,33 +87,34 @@
 class Confirmation:
     """Decides when a configuration that came from peers may be served.
 
-    One that the store gave needs no confirmation. One that a peer gave is
-    confirmed once another peer, or the only one, states no newer generation.
+    One read from the store needs no confirmation. One received from a peer is
+    confirmed once two peers, or the only reachable one, have reported their
+    generations and none is newer.
     """
 
     def __init__(self) -> None:
         self.confirmed = False
-        self._stated: dict[str, int] = {}
+        self._peer_generations: dict[str, int] = {}
 
     def store_gave(self) -> None:
-        """Take note of a document read from the store."""
+        """Record that the configuration was read from the store."""
         self.confirmed = True
 
     def peer_stated(self, peer: str, generation: int) -> None:
-        """Take note of the generation in force at a peer."""
+        """Record the generation in force at a peer."""
         if not self.confirmed:
-            self._stated[peer] = generation
+            self._peer_generations[peer] = generation
 
     def judge(self, generation: int, reachable: int) -> bool:
-        """Return whether the generation may be served, and remember a yes.
+        """Return whether the generation may be served; a confirmation is permanent.
 
-        :param generation: generation in force here.
+        :param generation: generation in force at this instance.
         :param reachable: number of peers with an open stream.
         """
-        heard = len(self._stated)
-        agreed = heard > 0 and max(self._stated.values()) <= generation
-        enough = heard >= min(2, reachable)
+        reported = len(self._peer_generations)
+        agreed = reported > 0 and max(self._peer_generations.values()) <= generation
+        enough = reported >= min(2, reachable)
         self.confirmed = self.confirmed or (generation > 0 and agreed and enough)
         if self.confirmed:
-            self._stated.clear()
+            self._peer_generations.clear()
         return self.confirmed
--- a/packages/policies/src/sycamorenotch_policies/_fleet.py
+++ b/packages/policies/src/sycamorenotch_policies/_fleet.py
@@ -1,4 +1,4 @@
-"""Types that describe the instances of the fleet."""
+"""Description of the instances of the fleet."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 @final
 @dataclass(frozen=True, slots=True)
 class FleetMember:
-    """One instance as one daemon sees it.
+    """One instance as observed by one daemon.
 
-    :param incarnation: number that each start of an instance raises.
+    :param incarnation: number that rises with each start of the instance.
     :param generation: configuration generation it is known to serve, or 0.
     :param digest: digest of that configuration, or an empty string.
-    :param last_heard: age of the newest news, or none if it was never heard.
-    :param listed: whether the platform's list has the instance.
+    :param last_heard: time since the newest information, or None if there is none.
+    :param listed: whether the platform's list contains the instance.
     """
 
     instance: InstanceId
--- a/packages/policies/src/sycamorenotch_policies/_grant_holding.py
+++ b/packages/policies/src/sycamorenotch_policies/_grant_holding.py
@@ -1,4 +1,4 @@
-"""What one instance may use of the grants that it holds."""
+"""Slots that one instance may use of its grants."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @final
 class GrantHolding:
-    """Grants of one instance, by its own monotonic clock.
+    """Grants of one instance, timed by its own monotonic clock.
 
-    Nothing is usable before the holder has confirmed a plan to this process:
-    a plan that a restarted instance reads elsewhere may be older than the one
-    that it confirmed before.
+    No slot is usable before the lease holder has confirmed a plan to this
+    process: a plan that a restarted instance reads from another source may be
+    older than the one that it confirmed before the restart.
 
     :param instance: the instance that holds the grants.
     """
@@ -24,16 +24,16 @@
     def __init__(self, instance: InstanceId) -> None:
         self._instance = instance
         self._grants: dict[tuple[str, str], Grant] = {}
-        self._asked_at: timedelta | None = None
+        self._renewed_at: timedelta | None = None
         self.sequence = -1
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether a holder has ever confirmed a plan to this process."""
-        return self._asked_at is not None
+        """Whether a lease holder has confirmed any plan to this process."""
+        return self._renewed_at is not None
 
     def accept(self, plan: Plan) -> bool:
-        """Put a newer plan's grants in force.
+        """Put the grants of a newer plan in force.
 
         :return: whether the plan was newer.
         """
@@ -47,24 +47,28 @@
         }
         return True
 
-    def confirm(self, sequence: int, asked_at: timedelta) -> bool:
-        """Renew the loans after the holder answered.
+    def confirm(self, sequence: int, requested_at: timedelta) -> bool:
+        """Renew the loans on a confirmation of the lease holder.
 
-        :param sequence: the plan that the holder confirmed.
-        :param asked_at: when this instance sent the question; the loan's life
-            counts from then, so that a late answer cannot lengthen it.
+        :param sequence: sequence of the plan that the holder confirmed.
+        :param requested_at: when this instance sent the request. The loans' life
+            counts from then, so that a late answer cannot extend it.
         :return: whether the confirmation is for the plan in force.
         """
         if sequence != self.sequence:
             return False
-        if self._asked_at is None or asked_at > self._asked_at:
-            self._asked_at = asked_at
+        if self._renewed_at is None or requested_at > self._renewed_at:
+            self._renewed_at = requested_at
         return True
 
     def slots(self, region: str, service: str, now: timedelta) -> int:
-        """Return the slots that may be filled at this moment."""
+        """Return the slots that may be in use now.
+
+        :param now: monotonic clock of this instance.
+        :return: floor and loan, only the floor once the loan has lapsed.
+        """
         grant = self._grants.get((region, service))
-        if grant is None or self._asked_at is None:
+        if grant is None or self._renewed_at is None:
             return 0
-        lapsed = now - self._asked_at >= grant.loan_life
+        lapsed = now - self._renewed_at >= grant.loan_life
         return grant.floor if lapsed else grant.floor + grant.loan
--- a/packages/policies/src/sycamorenotch_policies/_grants.py
+++ b/packages/policies/src/sycamorenotch_policies/_grants.py
@@ -1,4 +1,8 @@
-"""Splits usable capacity over instances: shrink, confirm or lapse, then grow."""
+"""Split of usable capacity over instances without overcommitment.
+
+A grant grows only by slots that no other instance may use any more: it confirmed
+a smaller grant, its loan lapsed, or it is gone.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,7 @@
 from sycamorenotch_kernel import OutstandingGrant
 from sycamorenotch_kernel import Plan
 from sycamorenotch_kernel import PlanRoute
-from sycamorenotch_policies._grant_wants import instance_wants
+from sycamorenotch_policies._demand_weights import instance_demand_weights
 from sycamorenotch_policies._measurements import Assessment
 from sycamorenotch_policies._steering_events import InstanceGone
 from sycamorenotch_policies._steering_events import LoansLapsed
@@ -24,15 +28,15 @@
 from sycamorenotch_policies._steering_view import SteeringView
 
 LOAN_LIFE = timedelta(seconds=5)
-# Allowance for clocks that run at different speeds.
+# Allows for monotonic clocks that run at different rates.
 LAPSE_MARGIN = timedelta(seconds=1)
 GONE_GRACE = timedelta(seconds=30)
 FLOOR_SHARE = 0.5
-# A grant stays while its fair part differs by less than this share.
-KEEP_WITHIN = 0.2
+# Grants stay while the fair split differs from them by at most this share.
+CHANGE_TOLERANCE = 0.2
 
 Pool = tuple[str, str]
-Held = dict[tuple[InstanceId, str, str], Grant]
+GrantsByHolder = dict[tuple[InstanceId, str, str], Grant]
 
 
 @final
@@ -40,7 +44,8 @@
 class GrantDecision:
     """The grants of the next plan.
 
-    :param sequence: sequence of that plan.
+    :param sequence: sequence of the next plan.
+    :param outstanding: earlier grants that an instance may still use.
     """
 
     sequence: int
@@ -57,113 +62,118 @@
 ) -> GrantDecision:
     """Split the slots of every region and service over the instances.
 
-    The holder must not confirm the previous plan to anyone from this decision
-    until it knows whether the next plan was written.
+    From this decision on, the lease holder must not confirm the previous plan to
+    any instance until it knows whether the next plan was written.
     """
-    wants = instance_wants(view, assessment, routes)
+    demand_weights = instance_demand_weights(view, assessment, routes)
     capacities = {key: item.grantable for key, item in assessment.capacities.items()}
     leaving = frozenset(
         item.id for item in view.instances if item.state is InstanceState.LEAVING
     )
-    return regrant(capacities, wants, view.contacts, previous, leaving)
+    return regrant(capacities, demand_weights, view.contacts, previous, leaving)
 
 
 def regrant(
     capacities: Mapping[Pool, int],
-    wants: Mapping[Pool, Mapping[InstanceId, float]],
+    demand_weights: Mapping[Pool, Mapping[InstanceId, float]],
     contacts: Iterable[InstanceContact],
     previous: Plan | None,
     leaving: frozenset[InstanceId] = frozenset(),
 ) -> GrantDecision:
-    """Move grants towards what instances want, without overcommitment.
+    """Move grants towards the instances' demand without overcommitment.
 
     :param capacities: slots by region and service.
-    :param wants: weight of each instance in each region and service.
-    :param contacts: what is known of each instance that holds a grant.
-    :param leaving: instances that keep their grants to finish their work.
+    :param demand_weights: demand weight of each instance by region and service.
+    :param contacts: confirmation state of each instance that holds a grant.
+    :param leaving: instances that keep their grants to finish requests in flight.
     """
-    known = {contact.instance: contact for contact in contacts}
+    contacts_by_id = {contact.instance: contact for contact in contacts}
     sequence = 1 if previous is None else previous.sequence + 1
-    held = {} if previous is None else _by_place(previous.grants)
-    waiting = [] if previous is None else list(previous.outstanding)
+    held = {} if previous is None else _by_holder_and_pool(previous.grants)
+    pending = [] if previous is None else list(previous.outstanding)
     grants: list[Grant] = []
     outstanding: list[OutstandingGrant] = []
     for pool in sorted(capacities):
         before = {k[0]: grant for k, grant in held.items() if k[1:] == pool}
-        kept = [
+        unsettled = [
             item
-            for item in waiting
+            for item in pending
             if (item.grant.region, item.grant.service) == pool
-            and not _is_over(item, known.get(item.grant.instance))
+            and not _is_settled(item, contacts_by_id.get(item.grant.instance))
         ]
-        new, shrunk = _regrant_pool(
+        new, reduced = _reallocate_pool(
             pool,
             capacities[pool],
-            wants.get(pool, {}),
-            known,
+            demand_weights.get(pool, {}),
+            contacts_by_id,
             before,
-            kept,
+            unsettled,
             sequence,
             leaving,
         )
         grants.extend(new)
-        outstanding.extend((*kept, *shrunk))
-    events = tuple(_events(known, held))
+        outstanding.extend((*unsettled, *reduced))
+    events = tuple(_events(contacts_by_id, held))
     return GrantDecision(sequence, tuple(grants), tuple(outstanding), events)
 
 
-def _regrant_pool(
+def _reallocate_pool(
     pool: Pool,
     capacity: int,
-    wants: Mapping[InstanceId, float],
-    known: Mapping[InstanceId, InstanceContact],
+    demand_weights: Mapping[InstanceId, float],
+    contacts_by_id: Mapping[InstanceId, InstanceContact],
     before: Mapping[InstanceId, Grant],
-    kept: list[OutstandingGrant],
+    unsettled: list[OutstandingGrant],
     sequence: int,
     leaving: frozenset[InstanceId],
 ) -> tuple[list[Grant], list[OutstandingGrant]]:
-    present = {name: g for name, g in before.items() if not _gone(known.get(name))}
-    targets = _targets(capacity, wants, known, present, leaving)
-    shrunk = {
-        name: _shrink(grant, *targets.get(name, (0, 0)))
+    present = {
+        name: g for name, g in before.items() if not _is_gone(contacts_by_id.get(name))
+    }
+    targets = _targets(capacity, demand_weights, contacts_by_id, present, leaving)
+    reduced = {
+        name: _reduce(grant, *targets.get(name, (0, 0)))
         for name, grant in present.items()
     }
-    waiting = [
+    pending = [
         OutstandingGrant(grant, sequence)
         for name, grant in present.items()
-        if _is_smaller(shrunk[name], grant)
+        if _is_smaller(reduced[name], grant)
     ]
-    bounds = _bounds(shrunk, [*kept, *waiting], known)
-    room = capacity - sum(bounds.values())
-    grown: list[Grant] = []
-    for name in sorted(targets.keys() | shrunk.keys()):
+    bounds = _bounds(reduced, [*unsettled, *pending], contacts_by_id)
+    spare_slots = capacity - sum(bounds.values())
+    increased: list[Grant] = []
+    for name in sorted(targets.keys() | reduced.keys()):
         empty = Grant(name, *pool, 0, 0, LOAN_LIFE)
-        grant = _grow(
-            shrunk.get(name, empty), targets.get(name, (0, 0)), bounds[name], room
+        grant = _increase(
+            reduced.get(name, empty),
+            targets.get(name, (0, 0)),
+            bounds[name],
+            spare_slots,
         )
-        room -= max(0, _total(grant) - bounds[name])
+        spare_slots -= max(0, _total(grant) - bounds[name])
         if _total(grant):
-            grown.append(grant)
-    return grown, waiting
+            increased.append(grant)
+    return increased, pending
 
 
 def _targets(
     capacity: int,
-    wants: Mapping[InstanceId, float],
-    known: Mapping[InstanceId, InstanceContact],
+    demand_weights: Mapping[InstanceId, float],
+    contacts_by_id: Mapping[InstanceId, InstanceContact],
     before: Mapping[InstanceId, Grant],
     leaving: frozenset[InstanceId],
 ) -> dict[InstanceId, tuple[int, int]]:
-    """Return the floor and loan that each instance should come to."""
+    """Return the floor and loan that each instance should reach."""
     fixed = {
-        name: (grant.floor, 0 if _silent(known.get(name)) else grant.loan)
+        name: (grant.floor, 0 if _is_silent(contacts_by_id.get(name)) else grant.loan)
         for name, grant in before.items()
-        if name in leaving or _silent(known.get(name))
+        if name in leaving or _is_silent(contacts_by_id.get(name))
     }
-    active = {n: w for n, w in wants.items() if n not in fixed and w > 0}
+    active = {n: w for n, w in demand_weights.items() if n not in fixed and w > 0}
     left = max(0, capacity - sum(floor + loan for floor, loan in fixed.values()))
     totals = apportion(left, active)
-    if _near(totals, before, left, active):
+    if _is_within_tolerance(totals, before, left, active):
         totals = {name: _total(before[name]) for name in totals if name in before}
     targets = {
         n: (int(t * FLOOR_SHARE), t - int(t * FLOOR_SHARE)) for n, t in totals.items()
@@ -172,7 +182,10 @@
 
 
 def apportion(slots: int, weights: Mapping[InstanceId, float]) -> dict[InstanceId, int]:
-    """Split whole slots by weight, the largest remainders first."""
+    """Split whole slots by weight with the largest remainder method.
+
+    :return: slots of each instance; empty if no weight is above 0.
+    """
     total = sum(weights.values())
     if not total:
         return {}
@@ -184,7 +197,7 @@
     return parts
 
 
-def _near(
+def _is_within_tolerance(
     totals: Mapping[InstanceId, int],
     before: Mapping[InstanceId, Grant],
     left: int,
@@ -195,12 +208,12 @@
     if not same or sum(now.values()) != left:
         return False
     return all(
-        abs(totals[name] - value) <= max(1, KEEP_WITHIN * value)
+        abs(totals[name] - value) <= max(1, CHANGE_TOLERANCE * value)
         for name, value in now.items()
     )
 
 
-def _shrink(grant: Grant, floor: int, loan: int) -> Grant:
+def _reduce(grant: Grant, floor: int, loan: int) -> Grant:
     new_floor = min(grant.floor, floor)
     new_total = min(_total(grant), floor + loan)
     return Grant(
@@ -213,12 +226,16 @@
     )
 
 
-def _grow(grant: Grant, target: tuple[int, int], bound: int, room: int) -> Grant:
-    """Grow a grant to its target by what nobody else may still use.
+def _increase(
+    grant: Grant, target: tuple[int, int], bound: int, spare_slots: int
+) -> Grant:
+    """Grow a grant towards its target by slots that no other instance may use.
 
+    :param target: floor and loan to reach.
     :param bound: slots that the instance may use already.
+    :param spare_slots: slots that no instance may use.
     """
-    total = min(sum(target), max(bound, _total(grant)) + max(0, room))
+    total = min(sum(target), max(bound, _total(grant)) + max(0, spare_slots))
     floor = min(max(grant.floor, target[0]), total)
     return Grant(
         grant.instance, grant.region, grant.service, floor, total - floor, LOAN_LIFE
@@ -228,33 +245,33 @@
 def _bounds(
     grants: Mapping[InstanceId, Grant],
     outstanding: Iterable[OutstandingGrant],
-    known: Mapping[InstanceId, InstanceContact],
+    contacts_by_id: Mapping[InstanceId, InstanceContact],
 ) -> defaultdict[InstanceId, int]:
-    """Return the slots that each instance may use under any plan it may hold."""
+    """Return the most slots that each instance may use under any plan it may hold."""
     bounds: defaultdict[InstanceId, int] = defaultdict(int)
     for name, grant in grants.items():
         bounds[name] = _total(grant)
     for item in outstanding:
         name = item.grant.instance
-        lapsed = _silent(known.get(name))
+        lapsed = _is_silent(contacts_by_id.get(name))
         usable = item.grant.floor if lapsed else _total(item.grant)
         bounds[name] = max(bounds[name], usable)
     return bounds
 
 
-def _is_over(item: OutstandingGrant, contact: InstanceContact | None) -> bool:
+def _is_settled(item: OutstandingGrant, contact: InstanceContact | None) -> bool:
     if contact is None:
         return False
-    return contact.sequence >= item.until or _gone(contact)
+    return contact.sequence >= item.until or _is_gone(contact)
 
 
-def _gone(contact: InstanceContact | None) -> bool:
+def _is_gone(contact: InstanceContact | None) -> bool:
     return (
         contact is not None and contact.gone is not None and contact.gone >= GONE_GRACE
     )
 
 
-def _silent(contact: InstanceContact | None) -> bool:
+def _is_silent(contact: InstanceContact | None) -> bool:
     return contact is not None and contact.silence >= LOAN_LIFE + LAPSE_MARGIN
 
 
@@ -266,16 +283,18 @@
     return grant.floor + grant.loan
 
 
-def _by_place(grants: Iterable[Grant]) -> Held:
+def _by_holder_and_pool(grants: Iterable[Grant]) -> GrantsByHolder:
     return {(g.instance, g.region, g.service): g for g in grants}
 
 
-def _events(known: Mapping[InstanceId, InstanceContact], held: Held) -> Iterable[Event]:
+def _events(
+    contacts_by_id: Mapping[InstanceId, InstanceContact], held: GrantsByHolder
+) -> Iterable[Event]:
     for name in sorted({key[0] for key in held}):
-        contact = known.get(name)
+        contact = contacts_by_id.get(name)
         if contact is None:
             continue
-        if _gone(contact):
+        if _is_gone(contact):
             yield InstanceGone(name)
-        elif _silent(contact):
+        elif _is_silent(contact):
             yield LoansLapsed(name, contact.silence.total_seconds())
--- a/packages/policies/src/sycamorenotch_policies/_lease.py
+++ b/packages/policies/src/sycamorenotch_policies/_lease.py
@@ -1,4 +1,4 @@
-"""Decides when to take, renew and give up a lease in the store."""
+"""Decisions about acquiring, renewing and releasing a lease in the store."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from sycamorenotch_kernel import InstanceState
 from sycamorenotch_kernel import ListedInstance
 from sycamorenotch_kernel import Version
-from sycamorenotch_policies._lease_life import LeaseStanding
-from sycamorenotch_policies._lease_life import new_lease_life
+from sycamorenotch_policies._lease_life import LeaseStatus
+from sycamorenotch_policies._lease_life import new_lease_state_machine
 
-# Covers clocks that do not run equally fast, and the time between the check
-# of the clock and the write.
-HOLDER_MARGIN = 0.2
+# Share of the duration for which the holder no longer acts. It covers clocks that
+# run at different rates and the time between a check of the clock and a write.
+HOLDER_MARGIN_SHARE = 0.2
 RENEWALS_PER_DURATION = 3
-CANDIDATES = 3
+CANDIDATE_COUNT = 3
 
 
 @final
@@ -28,11 +28,11 @@
 class LeaseRecord:
     """The stored state of a lease.
 
-    :param term: raised by one with every change of holder.
+    :param term: fencing number, raised by one with every change of holder.
     :param attempt: unique identifier of the write.
-    :param duration: time after which an observer counts it as lapsed if it
-        has not been written again.
-    :param released: whether the holder has given it up.
+    :param duration: time after which observers treat the lease as lapsed unless
+        it has been written again.
+    :param released: whether the holder has released it.
     """
 
     holder: InstanceId
@@ -45,7 +45,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LeaseFound:
-    """The store holds a lease."""
+    """Result of a read or of a conflicting write: the lease as stored."""
 
     record: LeaseRecord
     version: Version
@@ -54,13 +54,16 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LeaseMissing:
-    """The store holds no lease."""
+    """Result of a read or write: the store has no such lease."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class LeaseWritten:
-    """The write took effect."""
+    """Result of a write that took effect.
+
+    :param version: version of the lease as written.
+    """
 
     version: Version
 
@@ -68,7 +71,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LeaseFailed:
-    """The call has no regular answer; a write may have taken effect."""
+    """Result of a failed call; the outcome of a write is unknown."""
 
     detail: str
 
@@ -79,15 +82,15 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ReadLease:
-    """Read the lease."""
+    """Command to read the lease."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class WriteLease:
-    """Write the lease.
+    """Command to write the lease on condition of its version.
 
-    :param expected: version of the lease to replace; none to create it.
+    :param expected: version of the lease to replace; None to create it.
     """
 
     record: LeaseRecord
@@ -99,94 +102,106 @@
 
 @final
 class Lease:
-    """One instance's view of a lease; one call to the store at a time.
+    """State of a lease at one instance, with one store call at a time.
 
-    :param me: the instance.
-    :param duration: life of the lease from each renewal.
+    :param me: identifier of the instance.
+    :param duration: validity of the lease from each renewal.
     """
 
     def __init__(self, me: InstanceId, duration: timedelta) -> None:
         self._me = me
         self._duration = duration
-        self._standing = LeaseStanding()
-        self._life = new_lease_life(self._standing)
-        self._seen: LeaseFound | None = None
-        self._seen_at: timedelta | None = None
-        self._sent: LeaseRecord | None = None
-        self._sent_at = timedelta()
+        self._status = LeaseStatus()
+        self._state_machine = new_lease_state_machine(self._status)
+        self._observed: LeaseFound | None = None
+        self._observed_at: timedelta | None = None
+        self._unconfirmed_write: LeaseRecord | None = None
+        self._write_sent_at = timedelta()
         self._valid_until = timedelta()
         self._missing = False
-        # The term that this process holds or held last; never one of an
-        # earlier process under the same name.
+        # Term that this process holds or held last. A record of an earlier process
+        # with the same name does not count as its own.
         self._held_term: int | None = None
 
     @property
     def term(self) -> int:
-        """The newest term that was seen, or 0."""
-        return 0 if self._seen is None else self._seen.record.term
+        """The newest observed term, or 0 if none."""
+        return 0 if self._observed is None else self._observed.record.term
 
     @property
     def holder(self) -> InstanceId | None:
-        """The newest holder that was seen, if the lease is not released."""
-        if self._seen is None or self._seen.record.released:
+        """The newest observed holder; None if unknown or if the lease is released."""
+        if self._observed is None or self._observed.record.released:
             return None
-        return self._seen.record.holder
+        return self._observed.record.holder
 
     def is_held(self, now: timedelta) -> bool:
         """Return whether this instance may act as the holder.
 
-        :param now: this instance's monotonic clock.
+        :param now: monotonic clock of this instance.
         """
-        return self._standing.holding and now < self._valid_until
+        return self._status.holding and now < self._valid_until
 
     def is_lapsed(self, now: timedelta) -> bool:
-        """Return whether the lease may be taken.
+        """Return whether the lease may be acquired.
 
-        It has lapsed if its version has not changed for its duration, as seen
-        by this instance's own monotonic clock.
+        It has lapsed if its version has not changed for its duration by this
+        instance's own monotonic clock, or if it was released or is missing.
         """
-        if self._seen is None or self._seen_at is None:
+        if self._observed is None or self._observed_at is None:
             return self._missing
-        record = self._seen.record
-        return record.released or now - self._seen_at >= record.duration
+        record = self._observed.record
+        return record.released or now - self._observed_at >= record.duration
 
     def step(
         self, now: timedelta, attempt: AttemptId, *, candidate: bool
     ) -> LeaseCommand:
         """Return the next call to the store.
 
-        :param attempt: new identifier, for a write.
-        :param candidate: whether this instance may take the lease.
+        :param now: monotonic clock of this instance.
+        :param attempt: new unique identifier, used if the call is a write.
+        :param candidate: whether this instance may acquire the lease.
         """
-        if self._standing.holding and self._seen is not None:
-            # A write in doubt is read back first.
-            if self._sent is None:
-                return self._write(now, attempt, self._seen.record.term)
+        if self._status.holding and self._observed is not None:
+            # After a write with unknown outcome the lease is read first.
+            if self._unconfirmed_write is None:
+                return self._write(now, attempt, self._observed.record.term)
             return ReadLease()
-        if candidate and self._sent is None and self.is_lapsed(now):
+        if candidate and self._unconfirmed_write is None and self.is_lapsed(now):
             return self._write(now, attempt, self.term + 1)
         return ReadLease()
 
     def release(self, now: timedelta, attempt: AttemptId) -> WriteLease | None:
-        """Return the write that gives the lease up, if it is held."""
+        """Return the write that releases the lease, or None if it is not held.
+
+        :param now: monotonic clock of this instance.
+        :param attempt: new unique identifier of the write.
+        """
         if not self.is_held(now):
             return None
         self._valid_until = now
         return self._write(now, attempt, self.term, released=True)
 
     def feed(self, event: LeaseInput, now: timedelta) -> None:
-        """Take the answer to the last call."""
+        """Apply the result of the last call to the store.
+
+        :param now: monotonic clock of this instance.
+        """
         if isinstance(event, LeaseFailed):
-            # What was not observed to stay the same may have been renewed.
-            self._seen_at = None
+            # The lease may have been renewed while the store was unreachable, so the
+            # time without a change starts anew.
+            self._observed_at = None
             self._missing = False
-            self._life.doubt()
+            self._state_machine.mark_unknown()
         elif isinstance(event, LeaseMissing):
             self._on_missing()
         elif isinstance(event, LeaseWritten):
-            assert self._sent is not None
-            self._confirm(LeaseFound(self._sent, event.version), now)
-        elif self._sent is not None and event.record == self._sent:
+            assert self._unconfirmed_write is not None
+            self._confirm(LeaseFound(self._unconfirmed_write, event.version), now)
+        elif (
+            self._unconfirmed_write is not None
+            and event.record == self._unconfirmed_write
+        ):
             self._confirm(event, now)
         else:
             self._on_found(event, now)
@@ -195,60 +210,65 @@
         self, now: timedelta, attempt: AttemptId, term: int, *, released: bool = False
     ) -> WriteLease:
         record = LeaseRecord(self._me, term, attempt, self._duration, released)
-        self._sent, self._sent_at = record, now
-        self._life.write()
-        return WriteLease(record, None if self._seen is None else self._seen.version)
+        self._unconfirmed_write, self._write_sent_at = record, now
+        self._state_machine.write()
+        return WriteLease(
+            record, None if self._observed is None else self._observed.version
+        )
 
     def _confirm(self, found: LeaseFound, now: timedelta) -> None:
-        # The write took effect after it was sent, so that no observer counts
-        # the lease as lapsed before the duration from then.
-        self._valid_until = self._sent_at + self._duration * (1 - HOLDER_MARGIN)
-        self._sent = None
-        self._see(found, now)
+        # The write took effect after it was sent, so no observer treats the lease
+        # as lapsed earlier than one duration after that.
+        self._valid_until = self._write_sent_at + self._duration * (
+            1 - HOLDER_MARGIN_SHARE
+        )
+        self._unconfirmed_write = None
+        self._observe(found, now)
         if found.record.released:
-            self._give_up()
+            self._step_down()
         else:
             self._held_term = found.record.term
-            self._life.confirm()
+            self._state_machine.confirm()
 
     def _on_found(self, found: LeaseFound, now: timedelta) -> None:
         record = found.record
         own = record.holder == self._me and record.term == self._held_term
-        self._sent = None
-        self._see(found, now)
+        self._unconfirmed_write = None
+        self._observe(found, now)
         if own and not record.released:
-            # An older write of the same term, whose time is not known exactly,
-            # does not extend the lease.
-            self._life.confirm()
+            # An earlier write of the same term does not extend the lease, as the
+            # time at which it was sent is unknown.
+            self._state_machine.confirm()
         else:
-            self._give_up()
+            self._step_down()
 
-    def _give_up(self) -> None:
+    def _step_down(self) -> None:
         self._held_term = None
         self._valid_until = timedelta()
-        self._life.yield_()
+        self._state_machine.step_down()
 
     def _on_missing(self) -> None:
-        self._seen = self._seen_at = self._sent = None
+        self._observed = self._observed_at = self._unconfirmed_write = None
         self._missing = True
-        self._give_up()
+        self._step_down()
 
-    def _see(self, found: LeaseFound, now: timedelta) -> None:
+    def _observe(self, found: LeaseFound, now: timedelta) -> None:
         self._missing = False
-        known = self._seen is not None and self._seen.version == found.version
-        if not known or self._seen_at is None:
-            self._seen_at = now
-        self._seen = found
+        known = self._observed is not None and self._observed.version == found.version
+        if not known or self._observed_at is None:
+            self._observed_at = now
+        self._observed = found
 
 
 def lease_candidates(
-    lease: str, instances: Iterable[ListedInstance], count: int = CANDIDATES
+    lease: str, instances: Iterable[ListedInstance], count: int = CANDIDATE_COUNT
 ) -> tuple[InstanceId, ...]:
-    """Return the instances that try to take a lease, by rendezvous hashing.
+    """Return the instances that compete for a lease, by rendezvous hashing.
 
-    Instances whose lists differ may disagree; the conditional write decides.
+    Instances with different lists may disagree; the conditional write decides.
 
     :param lease: name of the lease.
+    :param count: number of candidates.
     """
     live = (item.id for item in instances if item.state is InstanceState.LIVE)
     ranked = sorted(set(live), key=lambda name: _weight(lease, name), reverse=True)
--- a/packages/policies/src/sycamorenotch_policies/_lease_life.py
+++ b/packages/policies/src/sycamorenotch_policies/_lease_life.py
@@ -1,4 +1,4 @@
-"""The life of a lease at one instance, as a state machine."""
+"""State machine of a lease at one instance."""
 
 from __future__ import annotations
 
@@ -11,68 +11,68 @@
 
 @final
 @dataclass(slots=True)
-class LeaseStanding:
-    """How the instance stands to the lease.
+class LeaseStatus:
+    """Whether the instance holds the lease.
 
-    :param holding: whether the last that it knows is that it is the holder;
-        its clock decides whether it may still act.
+    :param holding: whether the instance is the holder by its last observation.
+        Its clock decides in addition whether it may still act.
     """
 
     holding: bool = False
 
 
-class LeaseLife(Protocol):
-    """Events in the life of a lease; each is legal in some states only."""
+class LeaseStateMachine(Protocol):
+    """Inputs of the state machine; each is legal in some states only."""
 
     def write(self) -> None:
-        """Send a write that takes, renews or releases the lease."""
+        """A write that acquires, renews or releases the lease is sent."""
 
     def confirm(self) -> None:
-        """Learn that the instance's own write took effect."""
+        """The instance's own write took effect."""
 
-    def doubt(self) -> None:
-        """Learn that the write may have taken effect, now or later."""
+    def mark_unknown(self) -> None:
+        """The outcome of a write is unknown; it may still take effect later."""
 
-    def yield_(self) -> None:
-        """Learn that another instance is the holder, or that none is."""
+    def step_down(self) -> None:
+        """Another instance is the holder, or the lease has no holder."""
 
 
-_builder = TypeMachineBuilder(LeaseLife, LeaseStanding)
+_builder = TypeMachineBuilder(LeaseStateMachine, LeaseStatus)
 
 _following = _builder.state("following")
 _writing = _builder.state("writing")
-_doubtful = _builder.state("doubtful")
+_unknown = _builder.state("doubtful")
 _holding = _builder.state("holding")
 
 
-@_following.upon(LeaseLife.write).to(_writing)
-@_holding.upon(LeaseLife.write).to(_writing)
-@_doubtful.upon(LeaseLife.write).to(_writing)
-def _write(life: LeaseLife, standing: LeaseStanding) -> None:
-    """Keep the standing until the answer of the store."""
+@_following.upon(LeaseStateMachine.write).to(_writing)
+@_holding.upon(LeaseStateMachine.write).to(_writing)
+@_unknown.upon(LeaseStateMachine.write).to(_writing)
+def _write(machine: LeaseStateMachine, status: LeaseStatus) -> None:
+    """Keep the status until the store answers."""
 
 
-@_writing.upon(LeaseLife.confirm).to(_holding)
-@_doubtful.upon(LeaseLife.confirm).to(_holding)
-@_holding.upon(LeaseLife.confirm).loop()
-def _confirm(life: LeaseLife, standing: LeaseStanding) -> None:
-    standing.holding = True
+@_writing.upon(LeaseStateMachine.confirm).to(_holding)
+@_unknown.upon(LeaseStateMachine.confirm).to(_holding)
+@_holding.upon(LeaseStateMachine.confirm).loop()
+def _confirm(machine: LeaseStateMachine, status: LeaseStatus) -> None:
+    status.holding = True
 
 
-@_writing.upon(LeaseLife.doubt).to(_doubtful)
-@_doubtful.upon(LeaseLife.doubt).loop()
-@_holding.upon(LeaseLife.doubt).loop()
-@_following.upon(LeaseLife.doubt).loop()
-def _doubt(life: LeaseLife, standing: LeaseStanding) -> None:
-    """Keep the standing; the store is read before the next write."""
+@_writing.upon(LeaseStateMachine.mark_unknown).to(_unknown)
+@_unknown.upon(LeaseStateMachine.mark_unknown).loop()
+@_holding.upon(LeaseStateMachine.mark_unknown).loop()
+@_following.upon(LeaseStateMachine.mark_unknown).loop()
+def _mark_unknown(machine: LeaseStateMachine, status: LeaseStatus) -> None:
+    """Keep the status; the lease is read before the next write."""
 
 
-@_following.upon(LeaseLife.yield_).loop()
-@_writing.upon(LeaseLife.yield_).to(_following)
-@_doubtful.upon(LeaseLife.yield_).to(_following)
-@_holding.upon(LeaseLife.yield_).to(_following)
-def _yield(life: LeaseLife, standing: LeaseStanding) -> None:
-    standing.holding = False
+@_following.upon(LeaseStateMachine.step_down).loop()
+@_writing.upon(LeaseStateMachine.step_down).to(_following)
+@_unknown.upon(LeaseStateMachine.step_down).to(_following)
+@_holding.upon(LeaseStateMachine.step_down).to(_following)
+def _step_down(machine: LeaseStateMachine, status: LeaseStatus) -> None:
+    status.holding = False
 
 
-new_lease_life = _builder.build()
+new_lease_state_machine = _builder.build()
--- a/packages/policies/src/sycamorenotch_policies/_liveness.py
+++ b/packages/policies/src/sycamorenotch_policies/_liveness.py
@@ -1,4 +1,4 @@
-"""Which instances live, from their own datagrams."""
+"""Failure detection by heartbeats: which instances are alive."""
 
 from __future__ import annotations
 
@@ -10,120 +10,132 @@
 from sycamorenotch_kernel import Resources
 from sycamorenotch_policies._route_table import unit_interval
 
-# Datagrams are lost at times; five in a row seldom are.
-MISSED_BEATS = 5
-# Shortest interval between two datagrams to one peer.
-SHORTEST_BEAT_S = 0.5
-# Datagrams that one instance sends in a second.
-BEATS_PER_SECOND = 120.0
-# An instance that states nothing counts as one of one core and a gigabit link.
-UNSTATED = Resources(1.0, 1000.0)
-IDLE = Resources(0.0, 0.0)
+# Single datagrams get lost; a loss of five in a row is rare.
+MISSED_HEARTBEATS = 5
+# Shortest interval between two heartbeats to one peer.
+MIN_HEARTBEAT_INTERVAL_S = 0.5
+# Most heartbeats that one instance sends per second, over all peers.
+MAX_HEARTBEATS_PER_SECOND = 120.0
+# An instance that reports no resources counts as one core and a gigabit link.
+DEFAULT_RESOURCES = Resources(1.0, 1000.0)
+NO_USAGE = Resources(0.0, 0.0)
 
 
 def beat_interval_s(peers: int) -> float:
-    """Return the interval at which each of some peers is told that one lives."""
-    return max(SHORTEST_BEAT_S, peers / BEATS_PER_SECOND)
+    """Return the interval between heartbeats to each peer, in seconds.
+
+    :param peers: number of peers.
+    """
+    return max(MIN_HEARTBEAT_INTERVAL_S, peers / MAX_HEARTBEATS_PER_SECOND)
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class Beat:
-    """What an instance says of itself in a datagram.
+    """State that an instance reports of itself in a heartbeat.
 
-    :param sequence: grows with each datagram of one start.
-    :param ready: whether it serves requests.
-    :param has: what it may use of its machine.
-    :param uses: what it used of that lately.
+    :param sequence: rises with each heartbeat of one start.
+    :param ready: whether it accepts requests.
+    :param has: processors and link rate that it may use of its machine.
+    :param uses: processors and link rate in use since the last reading.
     """
 
     entry: PeerEntry
     sequence: int
     ready: bool
-    has: Resources = UNSTATED
-    uses: Resources = IDLE
+    has: Resources = DEFAULT_RESOURCES
+    uses: Resources = NO_USAGE
 
 
 @final
 @dataclass(slots=True)
-class _Heard:
-    beat: Beat
-    at: float
+class _Received:
+    heartbeat: Beat
+    received_at: float
 
 
 @final
 class Liveness:
-    """The instances that this one has heard from lately.
+    """Instances that this one considers alive by their heartbeats.
+
+    A heartbeat counts for the time in which several more are due.
 
     :param me: identifier of this instance.
     """
 
     def __init__(self, me: str) -> None:
         self._me = me
-        self._heard: dict[str, _Heard] = {}
+        self._received: dict[str, _Received] = {}
         self._known: dict[str, PeerEntry] = {}
 
     def know(self, entries: Iterable[PeerEntry]) -> None:
-        """Take the entries of the store; they say who exists, not who lives."""
+        """Set the entries of the store; an entry is no evidence of a live instance."""
         self._known = {entry.id: entry for entry in entries if entry.id != self._me}
 
-    def hear(self, beat: Beat, now: float) -> bool:
-        """Take a datagram.
+    def hear(self, heartbeat: Beat, now: float) -> bool:
+        """Record a heartbeat; one that is not newer than the last is discarded.
 
-        :return: whether the instance was not live before.
+        :param now: monotonic clock in seconds.
+        :return: whether the instance was not alive before.
         """
-        name = beat.entry.id
+        name = heartbeat.entry.id
         if name == self._me:
             return False
-        old = self._heard.get(name)
-        if old is not None and _order(beat) <= _order(old.beat):
+        old = self._received.get(name)
+        if old is not None and _version(heartbeat) <= _version(old.heartbeat):
             return False
-        fresh = old is None or now - old.at > self._life_s()
-        self._heard[name] = _Heard(beat, now)
+        fresh = old is None or now - old.received_at > self._timeout_s()
+        self._received[name] = _Received(heartbeat, now)
         return fresh
 
     def contacts(self) -> tuple[PeerEntry, ...]:
-        """Return the instances to send datagrams to."""
-        entries = {name: heard.beat.entry for name, heard in self._heard.items()}
+        """Return the instances to send heartbeats to."""
+        entries = {
+            name: received.heartbeat.entry for name, received in self._received.items()
+        }
         return tuple({**entries, **self._known}.values())
 
     def live(self, now: float) -> tuple[PeerEntry, ...]:
-        """Return the other instances that live and are not leaving."""
-        life = self._life_s()
+        """Return the other instances that are alive and not leaving."""
+        timeout_s = self._timeout_s()
         return tuple(
-            heard.beat.entry
-            for heard in self._heard.values()
-            if now - heard.at <= life and not heard.beat.entry.leaving
+            received.heartbeat.entry
+            for received in self._received.values()
+            if now - received.received_at <= timeout_s
+            and not received.heartbeat.entry.leaving
         )
 
     def serving(self, now: float) -> tuple[Beat, ...]:
-        """Return the newest beats of the others that live and take requests."""
+        """Return the newest heartbeats of the others that accept requests."""
         live = {entry.id for entry in self.live(now)}
         return tuple(
-            heard.beat
-            for name, heard in self._heard.items()
-            if name in live and heard.beat.ready
+            received.heartbeat
+            for name, received in self._received.items()
+            if name in live and received.heartbeat.ready
         )
 
     def lost(self, now: float) -> tuple[str, ...]:
-        """Forget and return the instances that fell silent."""
+        """Remove and return the instances whose heartbeats stopped."""
         gone = tuple(
             name
-            for name, heard in self._heard.items()
-            if now - heard.at > self._life_s()
+            for name, received in self._received.items()
+            if now - received.received_at > self._timeout_s()
         )
         for name in gone:
-            del self._heard[name]
+            del self._received[name]
         return gone
 
     def owns(self, key: str, now: float) -> bool:
-        """Whether this instance owns a key that one live instance may use."""
+        """Return whether this instance owns a key, by rendezvous hashing.
+
+        Each key has one owner if all live instances agree on who is alive.
+        """
         mine = unit_interval(key, self._me)
         return all(unit_interval(key, entry.id) <= mine for entry in self.live(now))
 
-    def _life_s(self) -> float:
-        return MISSED_BEATS * beat_interval_s(len(self._heard) + 1)
+    def _timeout_s(self) -> float:
+        return MISSED_HEARTBEATS * beat_interval_s(len(self._received) + 1)
 
 
-def _order(beat: Beat) -> tuple[int, int]:
-    return beat.entry.started, beat.sequence
+def _version(heartbeat: Beat) -> tuple[int, int]:
+    return heartbeat.entry.started, heartbeat.sequence
--- a/packages/policies/src/sycamorenotch_policies/_lookup.py
+++ b/packages/policies/src/sycamorenotch_policies/_lookup.py
@@ -1,4 +1,4 @@
-"""Which instances a caller should use."""
+"""Answers to look-ups: which instances a caller should use."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 from sycamorenotch_kernel import PlanRoute
 from sycamorenotch_policies._blocks import BlockTable
 
-MAXIMUM_INSTANCES = 4
-NEAR_INSTANCES = 3
-BUCKETS = 1024
-CACHE_LIMIT = 4096
+MAX_INSTANCES = 4
+MAX_SERVING_INSTANCES = 3
+BUCKET_COUNT = 1024
+CACHE_MAX_ENTRIES = 4096
 HASH_BYTES = 8
 
-Cached = dict[tuple[str, int, int], "LookupAnswer"]
+AnswerCache = dict[tuple[str, int, int], "LookupAnswer"]
 
 
 @final
 @dataclass(frozen=True, slots=True, eq=False)
 class LookupAnswer:
-    """Instances to use, the best first.
+    """Instances that a caller should use, the best first.
 
-    The same object is given for equal look-ups until an input changes, so
-    that a front end can keep its encoded form by identity.
+    Equal look-ups return the same object until an input changes, so that a front
+    end can cache its encoded form by identity.
 
     :param lifetime: how long the caller may use the answer.
-    :param region: the region that the caller's address belongs to.
-    :param serving: the region that the plan chose for the caller.
+    :param region: region of the caller's address.
+    :param serving: region that the plan chose for the caller.
     :param plan: sequence of the plan, or 0 if there is none.
     """
 
@@ -59,12 +59,12 @@
 class LookupTable:
     """Answers look-ups for one generation of the environment.
 
-    Callers fall into a fixed number of buckets by a hash of their address. A
-    bucket keeps its instances while the plan and the list stay as they are,
-    and a change of shares moves only the buckets at the margin.
+    Callers are hashed by address into a fixed number of buckets. A bucket keeps
+    its instances while the plan and the instance list are unchanged, and a change
+    of shares moves only as many buckets as the change requires.
 
-    :param environment: the document in force.
-    :param home: region for addresses that no client block holds.
+    :param environment: the environment document in force.
+    :param home: region for addresses outside all client blocks.
     """
 
     def __init__(self, environment: Environment, home: str | None = None) -> None:
@@ -80,12 +80,12 @@
         self._routes: dict[tuple[str, str], PlanRoute] = {}
         self._instances: tuple[ListedInstance, ...] = ()
         self._live: dict[str, tuple[ListedInstance, ...]] = {}
-        self._cache: Cached = {}
+        self._cache: AnswerCache = {}
 
     def update(self, plan: Plan | None, instances: tuple[ListedInstance, ...]) -> None:
-        """Take the plan in force and the known instances.
+        """Set the plan in force and the instances; a change clears the cache.
 
-        :param instances: the instances known to be live or leaving.
+        :param instances: instances known to be live or leaving.
         """
         if plan is self._plan and instances == self._instances:
             return
@@ -108,19 +108,21 @@
         """Answer one look-up.
 
         :param service: name of the service.
-        :param client: the caller's address.
+        :param client: address of the caller.
+        :return: the answer; a failure if the service is unknown or no instance is
+            live.
         """
         if service not in self._environment.services:
             return Error(Failure(ErrorKind.UNKNOWN_SERVICE, f"no service {service!r}"))
         found = self._blocks.find(client)
         source = self._home if found is None else found
-        key = (service, source, _hash(client.packed) % BUCKETS)
+        key = (service, source, _hash(client.packed) % BUCKET_COUNT)
         known = self._cache.get(key)
         if known is None:
             known = self._decide(*key)
             if not known.instances:
                 return Error(Failure(ErrorKind.NO_UPSTREAM, "no instance is live"))
-            if len(self._cache) >= CACHE_LIMIT:
+            if len(self._cache) >= CACHE_MAX_ENTRIES:
                 self._cache.clear()
             self._cache[key] = known
         return Ok(known)
@@ -137,11 +139,11 @@
             for name in usable
             if name != serving
         )
-        # The last place goes to another region, so that a caller that holds
-        # an answer can outlive the loss of a whole region.
-        fallback = islice(others, MAXIMUM_INSTANCES - len(ordered[:NEAR_INSTANCES]))
+        # The last entry is in another region, so that a caller with a cached answer
+        # survives the loss of a whole region.
+        fallback = islice(others, MAX_INSTANCES - len(ordered[:MAX_SERVING_INSTANCES]))
         return LookupAnswer(
-            instances=(*ordered[:NEAR_INSTANCES], *fallback),
+            instances=(*ordered[:MAX_SERVING_INSTANCES], *fallback),
             lifetime=self._environment.bounds.answer_lifetime,
             region=region,
             serving=serving,
@@ -152,7 +154,7 @@
         route = self._routes.get((service, region))
         if route is None:
             return region
-        position = (bucket + 0.5) / BUCKETS
+        position = (bucket + 0.5) / BUCKET_COUNT
         ends = accumulate(item.share for item in route.shares)
         return next(
             (
--- a/packages/policies/src/sycamorenotch_policies/_member_life.py
+++ b/packages/policies/src/sycamorenotch_policies/_member_life.py
@@ -1,4 +1,4 @@
-"""The life of an instance as another one sees it."""
+"""State machine of a fleet member as another instance observes it."""
 
 from __future__ import annotations
 
@@ -9,46 +9,46 @@
 from sycamorenotch_kernel import MemberState
 
 
-class MemberLife(Protocol):
-    """Inputs of a member's machine; each returns whether the state changed."""
+class MemberStateMachine(Protocol):
+    """Inputs of the state machine; each returns whether the state changed."""
 
     def state(self) -> MemberState:
-        """Return the state."""
+        """Return the current state."""
 
     def alive(self) -> bool:
-        """Take note that the member serves."""
+        """The member is alive."""
 
     def leave(self) -> bool:
-        """Take note that the member announced its stop."""
+        """The member announced that it is leaving."""
 
     def suspect(self) -> bool:
-        """Take note that the member does not answer."""
+        """The member does not answer and is suspected."""
 
     def confirm(self) -> bool:
-        """Take note that nobody refuted the suspicion in time."""
+        """The suspicion was not refuted in time."""
 
 
-def _machine() -> TypeMachineBuilder[MemberLife, None]:
-    builder = TypeMachineBuilder(MemberLife, type(None))
+def _machine_builder() -> TypeMachineBuilder[MemberStateMachine, None]:
+    builder = TypeMachineBuilder(MemberStateMachine, type(None))
     states = {state: builder.state(state.value) for state in MemberState}
     for name, state in states.items():
-        state.upon(MemberLife.state).loop().returns(name)
-        for each, target in (
-            (MemberLife.alive, MemberState.LIVE),
-            (MemberLife.leave, MemberState.LEAVING),
-            (MemberLife.suspect, MemberState.SUSPECT),
-            (MemberLife.confirm, MemberState.GONE),
+        state.upon(MemberStateMachine.state).loop().returns(name)
+        for input_method, target in (
+            (MemberStateMachine.alive, MemberState.LIVE),
+            (MemberStateMachine.leave, MemberState.LEAVING),
+            (MemberStateMachine.suspect, MemberState.SUSPECT),
+            (MemberStateMachine.confirm, MemberState.GONE),
         ):
-            # What is gone cannot be suspected; only new news revives it.
-            stays = name is MemberState.GONE and target is MemberState.SUSPECT
-            end = name if stays else target
-            state.upon(each).to(states[end]).returns(end is not name)
+            # A gone member cannot become suspected; only a newer state revives it.
+            ignored = name is MemberState.GONE and target is MemberState.SUSPECT
+            end = name if ignored else target
+            state.upon(input_method).to(states[end]).returns(end is not name)
     return builder
 
 
-_BUILD = _machine().build()
+_NEW_MACHINE = _machine_builder().build()
 
 
-def new_life() -> MemberLife:
-    """Return the machine of a member that is thought live."""
-    return _BUILD(None)
+def new_member_state_machine() -> MemberStateMachine:
+    """Return the state machine of a member that is considered live."""
+    return _NEW_MACHINE(None)
--- a/packages/policies/src/sycamorenotch_policies/_membership.py
+++ b/packages/policies/src/sycamorenotch_policies/_membership.py
@@ -1,4 +1,4 @@
-"""Which instances are alive, from the platform's list, heartbeats and rumours."""
+"""Failure detection: fleet members from the platform's list, heartbeats and rumours."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from sycamorenotch_kernel import MemberState
 from sycamorenotch_kernel import Rumour
 from sycamorenotch_policies._fleet import FleetMember
-from sycamorenotch_policies._member_life import MemberLife
-from sycamorenotch_policies._member_life import new_life
+from sycamorenotch_policies._member_life import MemberStateMachine
+from sycamorenotch_policies._member_life import new_member_state_machine
 
 SUSPECT_AFTER = timedelta(seconds=3)
 GONE_AFTER = timedelta(seconds=6)
-# An instance that the list lacks is kept while it is heard, as the list lags.
+# The platform's list lags, so an unlisted instance is kept while it is heard from.
 FORGET_AFTER = timedelta(seconds=60)
-# If more than this share of the others looks dead, this instance is cut off.
-CUT_OFF_SHARE = 0.5
-CUT_OFF_LEAST = 3
-NEWS_PER_HEARTBEAT = 4
-REFRESH_PER_HEARTBEAT = 2
+# If more than this share of the others looks dead, this instance is partitioned.
+PARTITIONED_SHARE = 0.5
+PARTITIONED_MIN_MEMBERS = 3
+CHANGES_PER_HEARTBEAT = 4
+REPEATS_PER_HEARTBEAT = 2
 
 
 @final
@@ -36,34 +36,34 @@
     incarnation: int = 0
     generation: int = 0
     digest: str = ""
-    heard: timedelta | None = None
-    since: timedelta = timedelta()
-    direct: timedelta | None = None
-    asked: timedelta | None = None
+    last_heard_at: timedelta | None = None
+    state_since: timedelta = timedelta()
+    last_heartbeat_at: timedelta | None = None
+    awaiting_since: timedelta | None = None
     listed: bool = False
-    life: MemberLife = field(default_factory=new_life)
+    machine: MemberStateMachine = field(default_factory=new_member_state_machine)
 
     @property
     def state(self) -> MemberState:
-        return self.life.state()
+        return self.machine.state()
 
     def enter(self, state: MemberState, now: timedelta) -> bool:
         inputs = {
-            MemberState.LIVE: self.life.alive,
-            MemberState.LEAVING: self.life.leave,
-            MemberState.SUSPECT: self.life.suspect,
-            MemberState.GONE: self.life.confirm,
+            MemberState.LIVE: self.machine.alive,
+            MemberState.LEAVING: self.machine.leave,
+            MemberState.SUSPECT: self.machine.suspect,
+            MemberState.GONE: self.machine.confirm,
         }
         changed = inputs[state]()
         if changed:
-            self.since = now
+            self.state_since = now
         return changed
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """A member changed its state."""
+    """A change of a member's state."""
 
     instance: InstanceId
     state: MemberState
@@ -73,7 +73,12 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PeerNews:
-    """What a peer says of itself."""
+    """State that a peer reports of itself in a heartbeat.
+
+    :param incarnation: number of the peer's start; refuting a suspicion raises it.
+    :param generation: configuration generation that the peer serves, or 0.
+    :param digest: digest of that configuration.
+    """
 
     instance: InstanceId
     region: str
@@ -86,7 +91,7 @@
 
 @final
 class Membership:
-    """The members that one daemon knows, itself excluded.
+    """Fleet members that one daemon knows, itself excluded.
 
     :param me: this daemon's identifier.
     :param incarnation: number of this start; later starts have higher ones.
@@ -96,15 +101,18 @@
         self.me = me
         self.incarnation = incarnation
         self._members: dict[InstanceId, _Member] = {}
-        self._news: dict[InstanceId, int] = {}
-        # Only these need a look at each tick, whatever the size of the fleet.
-        self._doubtful: set[InstanceId] = set()
+        self._remaining_sends: dict[InstanceId, int] = {}
+        # A tick checks only these, so that its cost does not grow with the fleet.
+        self._unsettled: set[InstanceId] = set()
         self._cursor = 0
 
     def list_is(
         self, listed: Iterable[ListedInstance], now: timedelta
     ) -> tuple[Transition, ...]:
-        """Merge the platform's list, which lags behind the peers' own news."""
+        """Merge the platform's list, which lags behind the peers' own heartbeats.
+
+        :param now: monotonic clock of this daemon.
+        """
         entries = {i.id: i for i in listed if i.id != self.me}
         for entry in entries.values():
             member = self._members.get(entry.id)
@@ -114,29 +122,29 @@
         for member in self._members.values():
             member.listed = member.instance in entries
             if not member.listed:
-                self._doubtful.add(member.instance)
+                self._unsettled.add(member.instance)
         return self.tick(now)
 
     def heard(self, news: PeerNews, now: timedelta) -> tuple[Transition, ...]:
-        """Take what a peer said of itself over its own stream."""
+        """Apply the state that a peer reported of itself over its own stream."""
         member = self._members.get(news.instance) or self._add(news.instance, now)
         if news.incarnation < member.incarnation:
             return ()
         restarted = news.incarnation > member.incarnation
         member.incarnation = news.incarnation
         member.region, member.data_centre = news.region, news.data_centre
-        member.heard = member.direct = now
-        member.asked = None
+        member.last_heard_at = member.last_heartbeat_at = now
+        member.awaiting_since = None
         if restarted or news.generation >= member.generation:
             member.generation, member.digest = news.generation, news.digest
         state = MemberState.LEAVING if news.leaving else MemberState.LIVE
         return self._enter(member, state, now)
 
     def rumour(self, rumour: Rumour, now: timedelta) -> tuple[Transition, ...]:
-        """Take what a peer said of a third instance.
+        """Apply what a peer reported of a third instance.
 
-        A rumour that this instance itself is dead is refuted by a higher
-        incarnation.
+        This instance refutes a rumour that it is suspect or gone by raising its
+        own incarnation.
         """
         if rumour.instance == self.me:
             self._refute(rumour)
@@ -147,54 +155,64 @@
         newer = rumour.incarnation > member.incarnation
         if newer:
             member.incarnation = rumour.incarnation
-            member.generation, member.heard = rumour.generation, now
+            member.generation, member.last_heard_at = rumour.generation, now
         elif rumour.generation > member.generation:
-            member.generation, member.heard = rumour.generation, now
+            member.generation, member.last_heard_at = rumour.generation, now
         if not newer and (
-            _order(rumour.state) <= _order(member.state) or _is_fresh(member, now)
+            _precedence(rumour.state) <= _precedence(member.state)
+            or _was_heard_recently(member, now)
         ):
             return ()
         return self._enter(member, rumour.state, now)
 
     def asked(self, instance: InstanceId, now: timedelta) -> None:
-        """Take note of a heartbeat that the instance should answer."""
+        """Record that a heartbeat was sent which the instance should answer."""
         member = self._members.get(instance)
-        if member is not None and member.asked is None:
-            member.asked = now
-            self._doubtful.add(instance)
+        if member is not None and member.awaiting_since is None:
+            member.awaiting_since = now
+            self._unsettled.add(instance)
 
     def release(self, observed: Iterable[InstanceId]) -> None:
-        """Expect no answer from instances that are not observed any more."""
+        """Expect no answer from any instance but the observed ones.
+
+        :param observed: instances that this daemon still sends heartbeats to.
+        """
         kept = set(observed)
         for member in self._members.values():
             if member.instance not in kept:
-                member.asked = None
+                member.awaiting_since = None
 
     def tick(self, now: timedelta) -> tuple[Transition, ...]:
-        """Suspect who does not answer, give up who does not refute."""
+        """Suspect members that do not answer; mark gone those that do not refute it."""
         changes: list[Transition] = []
-        for member in [self._members[name] for name in sorted(self._doubtful)]:
-            changes += self._tick(member, now)
-            if not member.listed and self._forgettable(member, now):
+        for member in [self._members[name] for name in sorted(self._unsettled)]:
+            changes += self._tick_member(member, now)
+            if not member.listed and self._is_forgettable(member, now):
                 del self._members[member.instance]
-                self._news.pop(member.instance, None)
-                self._doubtful.discard(member.instance)
+                self._remaining_sends.pop(member.instance, None)
+                self._unsettled.discard(member.instance)
             elif self._is_settled(member):
-                self._doubtful.discard(member.instance)
+                self._unsettled.discard(member.instance)
         return tuple(changes)
 
     def rumours(self) -> tuple[Rumour, ...]:
-        """Return a bounded digest: changed members first, then the next few."""
-        urgent = sorted(self._news, key=lambda i: -self._news[i])[:NEWS_PER_HEARTBEAT]
-        for instance in urgent:
-            self._news[instance] -= 1
-            if self._news[instance] <= 0:
-                del self._news[instance]
-        chosen = dict.fromkeys((*urgent, *self._refreshed()))
+        """Return the rumours of one heartbeat, bounded in number.
+
+        Recently changed members come first, then the next few in rotation, so
+        that every member is repeated in time.
+        """
+        changed_ids = sorted(
+            self._remaining_sends, key=lambda i: -self._remaining_sends[i]
+        )[:CHANGES_PER_HEARTBEAT]
+        for instance in changed_ids:
+            self._remaining_sends[instance] -= 1
+            if self._remaining_sends[instance] <= 0:
+                del self._remaining_sends[instance]
+        chosen = dict.fromkeys((*changed_ids, *self._next_in_rotation()))
         return tuple(_rumour(self._members[instance]) for instance in chosen)
 
     def members(self, now: timedelta) -> tuple[FleetMember, ...]:
-        """Return every member, by identifier."""
+        """Return every member, sorted by identifier."""
         return tuple(
             _fleet_member(self._members[instance], now)
             for instance in sorted(self._members)
@@ -216,45 +234,50 @@
         return member is not None and member.state is MemberState.LEAVING
 
     def is_cut_off(self) -> bool:
-        """Return whether so many others look dead that the fault is here."""
+        """Return whether so many others look dead that this instance is partitioned."""
         dead = sum(
             m.state in (MemberState.SUSPECT, MemberState.GONE)
             for m in self._members.values()
             if m.listed
         )
         listed = sum(m.listed for m in self._members.values())
-        return dead >= CUT_OFF_LEAST and dead > CUT_OFF_SHARE * listed
+        return dead >= PARTITIONED_MIN_MEMBERS and dead > PARTITIONED_SHARE * listed
 
     def _add(self, instance: InstanceId, now: timedelta) -> _Member:
-        self._doubtful.add(instance)
-        return self._members.setdefault(instance, _Member(instance, since=now))
+        self._unsettled.add(instance)
+        return self._members.setdefault(instance, _Member(instance, state_since=now))
 
-    def _tick(self, member: _Member, now: timedelta) -> tuple[Transition, ...]:
-        silent = member.asked is not None and now - member.asked >= SUSPECT_AFTER
+    def _tick_member(self, member: _Member, now: timedelta) -> tuple[Transition, ...]:
+        silent = (
+            member.awaiting_since is not None
+            and now - member.awaiting_since >= SUSPECT_AFTER
+        )
         if silent and member.state in (MemberState.LIVE, MemberState.LEAVING):
             return self._enter(member, MemberState.SUSPECT, now)
-        overdue = now - member.since >= GONE_AFTER
+        overdue = now - member.state_since >= GONE_AFTER
         if member.state is MemberState.SUSPECT and overdue:
             return self._enter(member, MemberState.GONE, now)
         return ()
 
     def _is_settled(self, member: _Member) -> bool:
         suspect = member.state is MemberState.SUSPECT
-        return member.listed and member.asked is None and not suspect
+        return member.listed and member.awaiting_since is None and not suspect
 
-    def _forgettable(self, member: _Member, now: timedelta) -> bool:
-        heard = member.since if member.heard is None else member.heard
-        return now - max(heard, member.since) >= FORGET_AFTER
+    def _is_forgettable(self, member: _Member, now: timedelta) -> bool:
+        heard_at = (
+            member.state_since if member.last_heard_at is None else member.last_heard_at
+        )
+        return now - max(heard_at, member.state_since) >= FORGET_AFTER
 
     def _enter(
         self, member: _Member, state: MemberState, now: timedelta
     ) -> tuple[Transition, ...]:
         if not member.enter(state, now):
             return ()
-        self._doubtful.add(member.instance)
-        # Each piece of news is passed on a number of times that grows with
-        # the logarithm of the fleet, so that it reaches everyone.
-        self._news[member.instance] = 2 * len(self._members).bit_length()
+        self._unsettled.add(member.instance)
+        # A change is repeated a number of times that grows with the logarithm of
+        # the fleet size, so that gossip spreads it to every member.
+        self._remaining_sends[member.instance] = 2 * len(self._members).bit_length()
         return (Transition(member.instance, state, member.incarnation),)
 
     def _refute(self, rumour: Rumour) -> None:
@@ -262,22 +285,25 @@
         if dead and rumour.incarnation >= self.incarnation:
             self.incarnation = rumour.incarnation + 1
 
-    def _refreshed(self) -> tuple[InstanceId, ...]:
+    def _next_in_rotation(self) -> tuple[InstanceId, ...]:
         names = tuple(self._members)
-        count = min(REFRESH_PER_HEARTBEAT, len(names))
+        count = min(REPEATS_PER_HEARTBEAT, len(names))
         places = range(self._cursor, self._cursor + count)
         self._cursor = (self._cursor + count) % max(1, len(names))
         return tuple(names[place % len(names)] for place in places)
 
 
-def _order(state: MemberState) -> int:
-    """Return how strongly news of one incarnation overrides other news."""
+def _precedence(state: MemberState) -> int:
+    """Return the precedence of a state over others of the same incarnation."""
     return list(MemberState).index(state)
 
 
-def _is_fresh(member: _Member, now: timedelta) -> bool:
-    """Return whether the member itself was heard, which outweighs rumours."""
-    return member.direct is not None and now - member.direct < SUSPECT_AFTER
+def _was_heard_recently(member: _Member, now: timedelta) -> bool:
+    """Return whether the member itself was heard recently, which overrides rumours."""
+    return (
+        member.last_heartbeat_at is not None
+        and now - member.last_heartbeat_at < SUSPECT_AFTER
+    )
 
 
 def _rumour(member: _Member) -> Rumour:
@@ -293,6 +319,6 @@
         incarnation=member.incarnation,
         generation=member.generation,
         digest=member.digest,
-        last_heard=None if member.heard is None else now - member.heard,
+        last_heard=None if member.last_heard_at is None else now - member.last_heard_at,
         listed=member.listed,
     )
--- a/packages/policies/src/sycamorenotch_policies/_named_instances.py
+++ b/packages/policies/src/sycamorenotch_policies/_named_instances.py
@@ -1,4 +1,4 @@
-"""Which instances the answer to a look-up names."""
+"""Choice of the instances that a look-up answer names."""
 
 from __future__ import annotations
 
@@ -7,55 +7,66 @@
 from sycamorenotch_kernel import PeerEntry
 from sycamorenotch_policies._liveness import Beat
 
-# Part of an instance's processor and link that requests may use before weaker
-# instances are named too; the rest bears the failure of one in two.
-TARGET_USE = 0.5
-# One instance that fails must leave another one to its callers.
-FEWEST = 2
-# Instances that carry at least this part of the strongest of a group belong to it.
-ALIKE = 0.8
+# Above this utilisation of processors or links weaker instances are named too. The
+# rest absorbs the load of one failed instance out of two.
+TARGET_UTILISATION = 0.5
+# Callers need a second instance if one fails.
+MIN_INSTANCES = 2
+# Instances with at least this share of the strength of the strongest in a group
+# belong to the group.
+SIMILAR_STRENGTH_SHARE = 0.8
 
 
 def lookup_answer(
     serving: Iterable[Beat], region: str, data_centre: str, most: int
 ) -> tuple[PeerEntry, ...]:
-    """Return the instances that a caller is told to use.
+    """Return the instances that a look-up answer names to a caller.
 
-    Those of its data centre if there are two or more, else those of its region,
-    else all. Among them the strongest that carry the present load.
+    Candidates are those of its data centre if there are two or more, else those
+    of its region, else all. Of these, the strongest are named that have capacity
+    for the present load of all candidates.
 
-    :param most: longest answer.
+    :param serving: heartbeats of the instances that accept requests.
+    :param most: maximum number of instances in an answer.
     """
-    found = sorted(serving, key=lambda beat: beat.entry.id)
-    near = [beat for beat in found if beat.entry.region == region]
-    same = [beat for beat in near if beat.entry.data_centre == data_centre]
+    found = sorted(serving, key=lambda heartbeat: heartbeat.entry.id)
+    near = [heartbeat for heartbeat in found if heartbeat.entry.region == region]
+    same = [
+        heartbeat for heartbeat in near if heartbeat.entry.data_centre == data_centre
+    ]
     chosen = _strongest(same if len(same) > 1 else near or found)
-    return tuple(beat.entry for beat in chosen[:most])
+    return tuple(heartbeat.entry for heartbeat in chosen[:most])
 
 
-def _strongest(beats: list[Beat]) -> list[Beat]:
-    """Return the fewest groups of like instances that carry what all do now."""
-    if not beats:
+def _strongest(heartbeats: list[Beat]) -> list[Beat]:
+    """Return the fewest groups of similar instances that can carry the load of all."""
+    if not heartbeats:
         return []
-    processors = max(beat.has.processors for beat in beats)
-    link = max(beat.has.link_mbps for beat in beats)
+    processors = max(heartbeat.has.processors for heartbeat in heartbeats)
+    link = max(heartbeat.has.link_mbps for heartbeat in heartbeats)
 
-    def strength(beat: Beat) -> float:
-        return min(beat.has.processors / processors, beat.has.link_mbps / link)
+    def strength(heartbeat: Beat) -> float:
+        return min(
+            heartbeat.has.processors / processors, heartbeat.has.link_mbps / link
+        )
 
     chosen: list[Beat] = []
-    rest = sorted(beats, key=strength, reverse=True)
-    while rest and not (len(chosen) >= FEWEST and _carry(chosen, beats)):
-        least = ALIKE * strength(rest[0])
-        chosen += [beat for beat in rest if strength(beat) >= least]
-        rest = [beat for beat in rest if strength(beat) < least]
-    return sorted(chosen, key=lambda beat: beat.entry.id)
-
-
-def _carry(chosen: list[Beat], beats: list[Beat]) -> bool:
-    """Whether some instances have room for what all use."""
-    processors = sum(beat.has.processors for beat in chosen) * TARGET_USE
-    link = sum(beat.has.link_mbps for beat in chosen) * TARGET_USE
-    return processors >= sum(beat.uses.processors for beat in beats) and (
-        link >= sum(beat.uses.link_mbps for beat in beats)
+    rest = sorted(heartbeats, key=strength, reverse=True)
+    while rest and not (
+        len(chosen) >= MIN_INSTANCES and _have_capacity(chosen, heartbeats)
+    ):
+        least = SIMILAR_STRENGTH_SHARE * strength(rest[0])
+        chosen += [heartbeat for heartbeat in rest if strength(heartbeat) >= least]
+        rest = [heartbeat for heartbeat in rest if strength(heartbeat) < least]
+    return sorted(chosen, key=lambda heartbeat: heartbeat.entry.id)
+
+
+def _have_capacity(chosen: list[Beat], heartbeats: list[Beat]) -> bool:
+    """Return whether the chosen instances have capacity for the load of all."""
+    processors = (
+        sum(heartbeat.has.processors for heartbeat in chosen) * TARGET_UTILISATION
     )
+    link = sum(heartbeat.has.link_mbps for heartbeat in chosen) * TARGET_UTILISATION
+    return processors >= sum(
+        heartbeat.uses.processors for heartbeat in heartbeats
+    ) and (link >= sum(heartbeat.uses.link_mbps for heartbeat in heartbeats))
--- a/packages/policies/src/sycamorenotch_policies/_plan_checks.py
+++ b/packages/policies/src/sycamorenotch_policies/_plan_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a plan that do not rely on the policy that made it."""
+"""Checks of a plan, independent of the policy that made it."""
 
 from __future__ import annotations
 
@@ -18,18 +18,19 @@
 def excess_shifts(
     plan: Plan, previous: Plan | None, environment: Environment
 ) -> tuple[str, ...]:
-    """Return the services whose new moves exceed the shift cap.
+    """Return the services whose new shifts exceed the shift cap.
 
-    Moves that an earlier plan made under a larger cap are not held against a
-    plan that adds none.
+    A plan without new shifts passes, even if shifts of earlier plans exceed a cap
+    that has been lowered since.
 
-    :param previous: the plan that the ledger continues.
+    :param previous: the plan whose shifts this plan continues.
+    :return: descriptions with the moved share and the cap, empty if none exceed.
     """
-    known = frozenset(() if previous is None else previous.shifts)
+    known_shifts = frozenset(() if previous is None else previous.shifts)
     moved: defaultdict[str, float] = defaultdict(float)
     for shift in plan.shifts:
         moved[shift.service] += shift.share
-    grown = {shift.service for shift in plan.shifts if shift not in known}
+    grown = {shift.service for shift in plan.shifts if shift not in known_shifts}
     cap = environment.shift.cap + SHARE_TOLERANCE
     return tuple(
         f"{service}: {moved[service]:.4f} of {environment.shift.cap}"
@@ -43,8 +44,10 @@
 ) -> tuple[str, ...]:
     """Return the regions and services whose grants exceed the workers' slots.
 
-    Grants that a change of the document left too large may stay as large as
-    they were until they have been taken back.
+    After a change of the document lowers the slots, grants may stay as large as
+    in the previous plan until they have been reduced.
+
+    :return: descriptions with granted and usable slots, empty if none exceed.
     """
     before = _totals(() if previous is None else previous.grants)
     slots: defaultdict[tuple[str, str], int] = defaultdict(int)
@@ -59,12 +62,12 @@
     environment: Environment,
     demands: Iterable[Demand],
 ) -> tuple[str, ...]:
-    """Return the links that the plan's routes load past their budgets.
+    """Return the links that the plan's routes load beyond their budgets.
 
-    A link that the previous plan loaded as much under the same demand is not
-    held against a plan that adds nothing.
+    A link passes if the previous plan loads it as much under the same demand.
 
-    :param demands: requests that the clients offer now.
+    :param demands: current request rates of the clients.
+    :return: descriptions with load and budget in bit/s, empty if none exceed.
     """
     offered = tuple(demands)
     before = _link_rates(previous, environment, offered)
@@ -79,8 +82,8 @@
 ) -> Iterator[str]:
     for (source, target), rate in sorted(after.items()):
         budget = environment.links[source, target].budget
-        known = before.get((source, target), 0.0) * (1 + SHARE_TOLERANCE)
-        if rate > max(budget, known):
+        previous_rate = before.get((source, target), 0.0) * (1 + SHARE_TOLERANCE)
+        if rate > max(budget, previous_rate):
             yield f"{source} to {target}: {rate:.0f} of {budget} bit/s"
 
 
--- a/packages/policies/src/sycamorenotch_policies/_quotas.py
+++ b/packages/policies/src/sycamorenotch_policies/_quotas.py
@@ -1,4 +1,4 @@
-"""Which workers' slots the grant of an instance stands for."""
+"""Assignment of worker slots to the grants of instances."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 def worker_quotas(
     grants: Iterable[Grant], workers: Iterable[Worker], instance: InstanceId
 ) -> Counter[str]:
-    """Return the slots of each worker that an instance fills first.
+    """Return the slots of each worker that an instance prefers to fill.
 
-    Instances cannot see what the others send to a worker. The slots are dealt
-    in one order that every instance works out alike, so that grants which fit
-    into the capacity fill each worker's slots without a queue on any of them.
+    Instances do not know what the others send to a worker. Every instance computes
+    the same assignment of slots to grants, so that grants within the capacity fill
+    each worker's slots without queueing on any of them.
 
     :param grants: the grants of a plan for one region and service.
     :param workers: the usable workers of that region and service.
     """
     ordered = sorted(workers, key=lambda worker: worker.name)
-    rounds = zip_longest(*([worker.name] * worker.slots for worker in ordered))
-    slots = (name for name in chain.from_iterable(rounds) if name is not None)
+    slot_rounds = zip_longest(*([worker.name] * worker.slots for worker in ordered))
+    slots = (name for name in chain.from_iterable(slot_rounds) if name is not None)
     for grant in sorted(grants, key=lambda grant: grant.instance):
-        dealt = Counter(islice(slots, grant.floor + grant.loan))
+        assigned = Counter(islice(slots, grant.floor + grant.loan))
         if grant.instance == instance:
-            return dealt
+            return assigned
     return Counter()
--- a/packages/policies/src/sycamorenotch_policies/_rendezvous.py
+++ b/packages/policies/src/sycamorenotch_policies/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Which instances watch for a data centre and whom each one keeps contact with."""
+"""Store watchers of a data centre and heartbeat peers, by rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def highest(
     key: str, instances: Iterable[InstanceId], count: int
 ) -> tuple[InstanceId, ...]:
-    """Return the instances of the highest weight for a key, the best first."""
+    """Return the instances of the highest weight for a key, in descending order."""
     ordered = sorted(instances, key=lambda i: (weight(key, i), i), reverse=True)
     return tuple(ordered[:count])
 
@@ -50,6 +50,9 @@
 def neighbours(
     me: InstanceId, instances: Iterable[InstanceId], count: int
 ) -> tuple[InstanceId, ...]:
-    """Return the fleet-wide contacts of an instance, a fixed random graph."""
+    """Return the fleet-wide heartbeat peers of an instance.
+
+    Over all instances these form a fixed random graph.
+    """
     others = (i for i in instances if i != me)
     return highest(f"contact|{me}", others, count)
--- a/packages/policies/src/sycamorenotch_policies/_route_table.py
+++ b/packages/policies/src/sycamorenotch_policies/_route_table.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request and the service that its weights give."""
+"""Route matching by host and prefix, and choice among weighted services."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def unit_interval(*parts: str) -> float:
-    """Hash texts to a number of at least 0 and less than 1."""
+    """Hash texts to a number from 0 (inclusive) to 1 (exclusive)."""
     digest = blake2b("|".join(parts).encode(), digest_size=HASH_BYTES).digest()
     return int.from_bytes(digest, "big") / HASH_RANGE
 
@@ -31,7 +31,7 @@
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def match(self, host: str, path: str) -> ForwardingRoute | None:
-        """Return the route of the longest prefix that begins the path.
+        """Return the route with the longest prefix of the path, or None.
 
         :param host: value of the host header; a port is ignored.
         """
@@ -42,14 +42,14 @@
 
 
 def pick_service(route: ForwardingRoute, draw: float) -> str:
-    """Return the service that a draw falls to.
+    """Return a service of the route, with probability by weight.
 
-    :param draw: uniform number of at least 0 and less than 1.
+    :param draw: uniform random number from 0 (inclusive) to 1 (exclusive).
     """
     total = sum(part.weight for part in route.services)
-    left = draw * total
+    remaining = draw * total
     for part in route.services:
-        left -= part.weight
-        if left < 0:
+        remaining -= part.weight
+        if remaining < 0:
             return part.service
     return route.services[-1].service
--- a/testing/policies/conftest.py
+++ b/testing/policies/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the policy tests."""
+"""Shared fixtures of the policy tests."""
 
 from __future__ import annotations
 
--- a/testing/policies/test_blocks.py
+++ b/testing/policies/test_blocks.py
@@ -1,4 +1,4 @@
-"""Tests of the packed table of client blocks."""
+"""Tests of the packed table of address blocks."""
 
 from __future__ import annotations
 
--- a/testing/policies/test_distribution.py
+++ b/testing/policies/test_distribution.py
@@ -1,4 +1,4 @@
-"""Tests of how configurations travel."""
+"""Tests of the distribution and confirmation of configurations."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @given(st.lists(st.binary(max_size=40), min_size=2, max_size=8))
-def test_text_is_the_same_when_pushed_as_a_difference(texts: list[bytes]) -> None:
+def test_text_is_unchanged_when_pushed_as_difference(texts: list[bytes]) -> None:
     sender, receiver = ConfigurationHistory(), ConfigurationHistory()
     for generation, text in enumerate(texts, start=1):
         before = 0 if receiver.newest is None else receiver.newest.generation
@@ -28,7 +28,7 @@
 
 
 @given(st.permutations(range(1, 6)), st.lists(st.integers(1, 5), max_size=5))
-def test_pushes_are_refused_or_right_when_reordered_and_repeated(
+def test_push_is_rejected_or_correct_when_reordered_and_repeated(
     order: list[int], repeated: list[int]
 ) -> None:
     sender, receiver = ConfigurationHistory(), ConfigurationHistory()
@@ -63,12 +63,14 @@
 
 
 @given(st.lists(st.sampled_from(PARTS), max_size=9), st.lists(st.sampled_from(PARTS)))
-def test_difference_makes_the_new_text(old: list[bytes], new: list[bytes]) -> None:
+def test_difference_applied_to_old_text_gives_new_text(
+    old: list[bytes], new: list[bytes]
+) -> None:
     before, after = b"".join(old), b"".join(new)
     assert apply_difference(before, difference(before, after)) == after
 
 
-def test_damaged_push_gives_nothing() -> None:
+def test_push_is_rejected_when_damaged() -> None:
     history = ConfigurationHistory()
     history.add(ConfigurationText.of(1, b"text"))
     push = history.push_to(0)
@@ -77,7 +79,7 @@
     assert ConfigurationHistory().text_of(damaged) is None
 
 
-def test_configuration_of_peers_waits_until_none_is_newer() -> None:
+def test_configuration_from_peers_is_confirmed_when_none_is_newer() -> None:
     confirmation = Confirmation()
     assert not confirmation.judge(0, 2)
     confirmation.peer_stated("a", 3)
@@ -89,7 +91,7 @@
     assert confirmation.judge(4, 2)
 
 
-def test_configuration_of_the_store_needs_no_peer() -> None:
+def test_configuration_from_store_is_confirmed_without_peers() -> None:
     confirmation = Confirmation()
     confirmation.store_gave()
     assert confirmation.judge(1, 0)
--- a/testing/policies/test_grants.py
+++ b/testing/policies/test_grants.py
@@ -1,4 +1,4 @@
-"""State machine of grants with paused, cut-off and dead instances."""
+"""Tests of grants, with a state machine of paused, partitioned and dead instances."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 @final
 class GrantMachine(RuleBasedStateMachine):
-    """A holder that is replaced at times, and instances that miss messages."""
+    """A lease holder that may be replaced, and instances that miss messages."""
 
     @initialize()
     def begin(self) -> None:
@@ -75,7 +75,7 @@
 
     @rule(seconds=st.integers(1, 10))
     def pass_time(self, seconds: int) -> None:
-        """Let every clock go on, also that of a paused instance."""
+        """Advance every clock, also that of a paused instance."""
         self.now += timedelta(seconds=seconds)
 
     @rule(wants=weights)
@@ -87,7 +87,7 @@
 
     @rule(name=names, back=st.integers(0, 5))
     def deliver_plan(self, name: InstanceId, back: int) -> None:
-        """Deliver a plan, perhaps an old one that was delayed."""
+        """Deliver a plan, possibly a delayed older one."""
         if self.old_plans and name in self.alive:
             self.holdings[name].accept(
                 self.old_plans[max(-1 - back, -len(self.old_plans))]
@@ -95,7 +95,7 @@
 
     @rule(name=names, delay=st.integers(0, 8))
     def confirm(self, name: InstanceId, delay: int) -> None:
-        """Ask the holder and get its answer after a delay."""
+        """Request a confirmation from the holder and receive it after a delay."""
         if self.plan is None or name not in self.alive:
             return
         holding = self.holdings[name]
@@ -106,32 +106,32 @@
 
     @rule(name=names)
     def renew(self, name: InstanceId) -> None:
-        """Bring the newest plan to an instance that then asks at once."""
+        """Deliver the newest plan to an instance and confirm it at once."""
         self.deliver_plan(name, 0)
         self.confirm(name, 0)
 
     @rule()
     def replace_holder(self) -> None:
-        """A new holder knows the plan and nothing of earlier contacts."""
+        """Replace the holder by one that knows the plan but no confirmations."""
         self.confirmed_at = dict.fromkeys(NAMES, self.now)
         self.seen = dict.fromkeys(NAMES, -1)
 
     @rule(name=names)
     def restart(self, name: InstanceId) -> None:
-        """Replace the process of an instance; it forgets everything."""
+        """Restart the process of an instance, which loses its state."""
         if name in self.alive:
             self.holdings[name] = GrantHolding(name)
 
     @rule(name=names)
     def kill(self, name: InstanceId) -> None:
-        """End an instance; the platform's list says so from now on."""
+        """End an instance; the platform's list drops it from now on."""
         if len(self.alive) > 1 and name in self.alive:
             self.alive.discard(name)
             self.gone_since[name] = self.now
 
     @invariant()
     def grants_fit(self) -> None:
-        """Slots in force fit into the capacity (I2)."""
+        """Usable slots of all instances fit into the capacity (I2)."""
         used = sum(self.holdings[n].slots(*POOL, self.now) for n in self.alive)
         assert used <= CAPACITY
 
@@ -165,21 +165,21 @@
     return next_plan(None, {NAMES[0]: 1.0, NAMES[1]: 1.0}, ())
 
 
-def test_capacity_is_split_whole_when_nobody_holds_any(first: Plan) -> None:
+def test_whole_capacity_is_split_when_no_grant_exists(first: Plan) -> None:
     assert [granted(first, name) for name in NAMES[:2]] == [12, 12]
 
 
-def test_other_grows_only_when_shrunk_instance_confirmed(first: Plan) -> None:
+def test_grant_grows_only_when_reduced_instance_confirmed(first: Plan) -> None:
     wants = {NAMES[0]: 3.0, NAMES[1]: 1.0}
-    unheard = (contact(NAMES[0], 1), contact(NAMES[1], 1))
-    second = next_plan(first, wants, unheard)
+    unconfirmed = (contact(NAMES[0], 1), contact(NAMES[1], 1))
+    second = next_plan(first, wants, unconfirmed)
     assert (granted(second, NAMES[0]), granted(second, NAMES[1])) == (12, 6)
-    heard = (contact(NAMES[0], 2), contact(NAMES[1], 2))
-    third = next_plan(second, wants, heard)
+    confirmed = (contact(NAMES[0], 2), contact(NAMES[1], 2))
+    third = next_plan(second, wants, confirmed)
     assert (granted(third, NAMES[0]), granted(third, NAMES[1])) == (18, 6)
 
 
-def test_loan_but_no_floor_is_handed_on_when_instance_is_silent(first: Plan) -> None:
+def test_loan_but_not_floor_is_reallocated_when_instance_is_silent(first: Plan) -> None:
     silence = (LOAN_LIFE + LAPSE_MARGIN).total_seconds()
     contacts = (contact(NAMES[0], 1), contact(NAMES[1], 1, int(silence)))
     second = next_plan(first, {NAMES[0]: 1.0, NAMES[1]: 1.0}, contacts)
@@ -187,7 +187,9 @@
     assert granted(second, NAMES[0]) == 18
 
 
-def test_floor_is_handed_on_when_list_says_gone_and_grace_passed(first: Plan) -> None:
+def test_floor_is_reallocated_when_gone_instance_exceeds_grace_period(
+    first: Plan,
+) -> None:
     grace = int(GONE_GRACE.total_seconds())
     early = (contact(NAMES[0], 1), contact(NAMES[1], 1, grace, grace - 1))
     second = next_plan(first, {NAMES[0]: 1.0}, early)
@@ -212,7 +214,7 @@
     assert holding.slots(*POOL, timedelta()) == 0
 
 
-def test_grants_stay_when_wants_change_little(first: Plan) -> None:
+def test_grants_stay_when_demand_weights_change_little(first: Plan) -> None:
     contacts = (contact(NAMES[0], 1), contact(NAMES[1], 1))
     second = next_plan(first, {NAMES[0]: 1.05, NAMES[1]: 1.0}, contacts)
     assert second.grants == first.grants
--- a/testing/policies/test_lease.py
+++ b/testing/policies/test_lease.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions about a lease."""
+"""Tests of lease decisions, with a state machine of several candidates."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class FakeStore:
-    """One lease with conditional writes."""
+    """In-memory store of one lease with conditional writes."""
 
     def __init__(self) -> None:
         self.current: LeaseFound | None = None
@@ -48,7 +48,7 @@
 
 
 class Candidate:
-    """An instance whose clock can differ from that of others."""
+    """An instance with its own clock."""
 
     def __init__(self, name: str, store: FakeStore) -> None:
         self.lease = Lease(InstanceId(name), DURATION)
@@ -82,14 +82,14 @@
             candidate.step()
 
 
-def test_one_candidate_holds_when_two_start_at_once() -> None:
+def test_one_candidate_holds_lease_when_two_start_together() -> None:
     first, second = pair()
     pass_time(first, second, seconds=20)
     assert (first.is_held, second.is_held) == (True, False)
     assert first.lease.term == 1
 
 
-def test_observer_takes_over_after_the_duration_by_its_own_clock() -> None:
+def test_observer_acquires_lease_when_duration_passed_by_its_clock() -> None:
     first, second = pair()
     pass_time(first, second, seconds=5)
     pass_time(second, seconds=5)
@@ -99,7 +99,7 @@
     assert second.lease.term == 2
 
 
-def test_paused_holder_may_not_act_when_it_resumes() -> None:
+def test_lease_is_not_held_when_paused_holder_resumes() -> None:
     first, second = pair()
     pass_time(first, seconds=3)
     expected = first.store.version
@@ -111,7 +111,7 @@
     assert second.store.version > expected
 
 
-def test_write_whose_answer_is_lost_is_recognised_when_read_back() -> None:
+def test_write_is_recognised_when_its_answer_was_lost() -> None:
     first, _ = pair()
     first.step()
     first.store.perform(first.send())
@@ -121,7 +121,7 @@
     assert first.is_held
 
 
-def test_renewal_that_was_lost_does_not_extend_the_lease() -> None:
+def test_lease_is_not_extended_when_renewal_was_lost() -> None:
     first, _ = pair()
     pass_time(first, seconds=3)
     for _ in range(5):
@@ -136,7 +136,7 @@
     assert first.lease.term == 1
 
 
-def test_observer_waits_a_whole_duration_when_the_store_was_down() -> None:
+def test_observer_waits_whole_duration_when_store_was_unavailable() -> None:
     first, second = pair()
     pass_time(first, second, seconds=3)
     second.now += timedelta(hours=3)
@@ -145,7 +145,7 @@
     assert not second.lease.is_lapsed(second.now)
 
 
-def test_lease_is_taken_at_once_when_the_holder_releases_it() -> None:
+def test_lease_is_acquired_at_once_when_holder_releases_it() -> None:
     first, second = pair()
     pass_time(first, second, seconds=3)
     released = first.lease.release(first.now, AttemptId("a-last"))
@@ -157,7 +157,7 @@
     assert second.is_held
 
 
-def test_restarted_instance_does_not_take_its_former_lease_for_its_own() -> None:
+def test_lease_is_not_held_when_instance_restarted() -> None:
     first, _ = pair()
     pass_time(first, seconds=3)
     again = Candidate("first", first.store)
@@ -185,7 +185,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Calls of several candidates that overlap, get lost and arrive late."""
+    """Overlapping, lost and delayed store calls of several candidates."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -219,7 +219,7 @@
 
     @rule(milliseconds=st.integers(100, 7000))
     def wait(self, milliseconds: int) -> None:
-        # The clocks do not run equally fast.
+        # The clocks run at different rates.
         for candidate, rate in zip(self.candidates, (0.95, 1.0, 1.05), strict=True):
             candidate.now += timedelta(milliseconds=milliseconds * rate)
 
--- a/testing/policies/test_ledger.py
+++ b/testing/policies/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the ledger of shifts."""
+"""Tests of the shift ledger."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         max_size=40,
     )
 )
-def test_moves_in_any_window_fit_under_cap_when_holders_change(
+def test_shifts_in_any_window_fit_under_cap_when_holders_change(
     steps: list[tuple[int, float, str]],
 ) -> None:
     plan, now, made = None, START, []
@@ -54,18 +54,18 @@
         assert inside <= VATUKOULA.shift.cap + 1e-9
 
 
-def test_move_is_refused_when_cap_is_used() -> None:
+def test_shift_is_rejected_when_cap_is_used() -> None:
     ledger = ShiftLedger.of(VATUKOULA, None, START).add(shift(0.1, START))
     with pytest.raises(ValueError, match="cap"):
         ledger.add(shift(0.01, START))
 
 
-def test_other_service_keeps_its_room_when_one_moved() -> None:
+def test_cap_of_other_service_is_unused_when_one_shifted() -> None:
     ledger = ShiftLedger.of(VATUKOULA, None, START).add(shift(0.1, START))
     assert ledger.available("issuing") == VATUKOULA.shift.cap
 
 
-def test_move_counts_when_clock_of_new_holder_is_behind() -> None:
+def test_shift_counts_when_clock_of_new_holder_is_behind() -> None:
     ledger = ShiftLedger.of(VATUKOULA, None, START).add(shift(0.1, START))
     plan = plan_of(ledger, "a", START)
     later = ShiftLedger.of(VATUKOULA, plan, START - timedelta(seconds=30))
--- a/testing/policies/test_lookup.py
+++ b/testing/policies/test_lookup.py
@@ -1,4 +1,4 @@
-"""Tests of look-up decisions."""
+"""Tests of the answers to look-ups."""
 
 from __future__ import annotations
 
@@ -131,7 +131,7 @@
         ("balance", (), ErrorKind.NO_UPSTREAM),
     ],
 )
-def test_lookup_is_refused_when_nothing_serves(
+def test_lookup_fails_when_nothing_serves(
     service: str, instances: tuple[ListedInstance, ...], kind: ErrorKind
 ) -> None:
     table = LookupTable(ENVIRONMENT)
--- a/testing/policies/test_membership.py
+++ b/testing/policies/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of the membership decisions."""
+"""Tests of membership and of the choice of heartbeat peers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,9 @@
     )
 
 
-def news(incarnation: int, *, leaving: bool = False, generation: int = 1) -> PeerNews:
+def peer_state(
+    incarnation: int, *, leaving: bool = False, generation: int = 1
+) -> PeerNews:
     return PeerNews(B, "r", "r-0", incarnation, leaving, generation, "")
 
 
@@ -42,7 +44,7 @@
     return found.get(InstanceId(name))
 
 
-def test_member_is_suspected_then_gone_when_it_does_not_answer() -> None:
+def test_member_is_suspected_then_gone_when_unanswered() -> None:
     members = listed("b", "c", "d", "e", "f", "g", "h")
     members.asked(B, SECOND)
     assert members.tick(3 * SECOND) == ()
@@ -53,18 +55,18 @@
 
 def test_member_is_live_again_when_it_returns_under_the_same_name() -> None:
     members = listed("b")
-    members.heard(news(5, generation=9), SECOND)
+    members.heard(peer_state(5, generation=9), SECOND)
     members.asked(B, SECOND)
     members.tick(4 * SECOND)
     members.tick(10 * SECOND)
     assert state(members) is MemberState.GONE
-    assert members.heard(news(4), 11 * SECOND) == ()
-    members.heard(news(6, generation=3), 11 * SECOND)
+    assert members.heard(peer_state(4), 11 * SECOND) == ()
+    members.heard(peer_state(6, generation=3), 11 * SECOND)
     (member,) = members.members(11 * SECOND)
     assert (member.state, member.generation) == (MemberState.LIVE, 3)
 
 
-def test_suspicion_is_refuted_when_the_suspect_hears_of_it() -> None:
+def test_suspicion_is_refuted_when_suspect_receives_rumour() -> None:
     members = Membership(A, 10)
     members.rumour(Rumour(A, 10, MemberState.SUSPECT, 1), SECOND)
     assert members.incarnation == 11
@@ -77,25 +79,25 @@
     assert state(others) is MemberState.LIVE
 
 
-def test_rumour_is_outweighed_when_the_member_itself_was_just_heard() -> None:
+def test_rumour_is_ignored_when_member_was_just_heard() -> None:
     members = listed("b")
-    members.heard(news(5), SECOND)
+    members.heard(peer_state(5), SECOND)
     members.rumour(Rumour(B, 5, MemberState.GONE, 1), 2 * SECOND)
     assert state(members) is MemberState.LIVE
     members.rumour(Rumour(B, 5, MemberState.GONE, 1), 5 * SECOND)
     assert state(members) is MemberState.GONE
 
 
-def test_member_is_kept_when_the_list_lags_and_forgotten_later() -> None:
+def test_member_is_kept_when_list_lags_and_forgotten_later() -> None:
     members = listed("b")
-    members.heard(news(5), SECOND)
+    members.heard(peer_state(5), SECOND)
     members.list_is([entry("a")], 2 * SECOND)
     assert state(members) is MemberState.LIVE
     members.tick(62 * SECOND)
     assert state(members) is None
 
 
-def test_every_member_stays_usable_when_this_instance_is_cut_off() -> None:
+def test_every_member_stays_usable_when_this_instance_is_partitioned() -> None:
     names = ("b", "c", "d", "e")
     members = listed(*names)
     for name in names[:3]:
@@ -105,9 +107,9 @@
     assert all(members.usable(InstanceId(name)) for name in names)
 
 
-def test_leaving_member_gets_no_work() -> None:
+def test_member_is_not_usable_when_leaving() -> None:
     members = listed("b")
-    members.heard(news(5, leaving=True), SECOND)
+    members.heard(peer_state(5, leaving=True), SECOND)
     assert members.is_leaving(B) and not members.usable(B)
 
 
--- a/testing/policies/test_named_instances.py
+++ b/testing/policies/test_named_instances.py
@@ -1,4 +1,4 @@
-"""Tests of which instances look-ups name."""
+"""Tests of the choice of instances that look-ups name."""
 
 from __future__ import annotations
 
@@ -14,55 +14,55 @@
 WEAK = Resources(0.4, 10.0)
 
 
-def beat(name: str, place: str = "a", has=STRONG, uses=None) -> Beat:
+def heartbeat(name: str, place: str = "a", has=STRONG, uses=None) -> Beat:
     entry = PeerEntry(name, REGIONS[place], place, f"{name}:1", f"{name}:2", 1)
     return Beat(entry, 1, True, has, uses or Resources(0.0, 0.0))
 
 
-def named(*beats: Beat, place: str = "a", most: int = 64) -> list[str]:
-    found = lookup_answer(beats, REGIONS[place], place, most)
+def named(*heartbeats: Beat, place: str = "a", most: int = 64) -> list[str]:
+    found = lookup_answer(heartbeats, REGIONS[place], place, most)
     return [entry.id for entry in found]
 
 
-def test_own_data_centre_when_it_has_two() -> None:
-    assert named(beat("x"), beat("y"), beat("z", "b")) == ["x", "y"]
+def test_instances_of_data_centre_are_named_when_it_has_two() -> None:
+    assert named(heartbeat("x"), heartbeat("y"), heartbeat("z", "b")) == ["x", "y"]
 
 
-def test_region_when_data_centre_has_one() -> None:
-    assert named(beat("x"), beat("z", "b"), beat("q", "c")) == ["x", "z"]
+def test_instances_of_region_are_named_when_data_centre_has_one() -> None:
+    assert named(heartbeat("x"), heartbeat("z", "b"), heartbeat("q", "c")) == ["x", "z"]
 
 
-def test_other_regions_when_none_is_near() -> None:
-    assert named(beat("q", "c")) == ["q"]
+def test_instances_of_other_regions_are_named_when_none_is_near() -> None:
+    assert named(heartbeat("q", "c")) == ["q"]
 
 
-def test_nothing_when_nobody_serves() -> None:
+def test_answer_is_empty_when_no_instance_serves() -> None:
     assert named() == []
 
 
-def test_weak_ones_are_left_out_when_the_strong_carry_the_load() -> None:
-    weak = [beat(f"w{n}", has=WEAK, uses=Resources(0.1, 2.0)) for n in range(9)]
-    strong = [beat("s1", uses=Resources(0.1, 10.0)), beat("s2")]
+def test_weak_instances_are_left_out_when_strong_ones_have_capacity() -> None:
+    weak = [heartbeat(f"w{n}", has=WEAK, uses=Resources(0.1, 2.0)) for n in range(9)]
+    strong = [heartbeat("s1", uses=Resources(0.1, 10.0)), heartbeat("s2")]
     assert named(*weak, *strong) == ["s1", "s2"]
 
 
 @pytest.mark.parametrize("uses", [Resources(1.2, 1.0), Resources(0.1, 120.0)])
-def test_weak_ones_are_named_when_processors_or_links_are_short(uses) -> None:
-    weak = [beat(f"w{n}", has=WEAK) for n in range(9)]
-    strong = [beat("s1", uses=uses), beat("s2", uses=uses)]
+def test_weak_instances_are_named_when_processors_or_links_are_short(uses) -> None:
+    weak = [heartbeat(f"w{n}", has=WEAK) for n in range(9)]
+    strong = [heartbeat("s1", uses=uses), heartbeat("s2", uses=uses)]
     assert len(named(*weak, *strong)) == 11
 
 
-def test_weak_ones_are_named_when_one_strong_is_left() -> None:
-    weak = [beat(f"w{n}", has=WEAK) for n in range(3)]
-    assert named(*weak, beat("s1")) == ["s1", "w0", "w1", "w2"]
+def test_weak_instances_are_named_when_one_strong_one_is_left() -> None:
+    weak = [heartbeat(f"w{n}", has=WEAK) for n in range(3)]
+    assert named(*weak, heartbeat("s1")) == ["s1", "w0", "w1", "w2"]
 
 
-def test_all_are_named_when_they_are_nearly_alike() -> None:
+def test_all_instances_are_named_when_strengths_are_similar() -> None:
     strengths = (Resources(1.0, 100.0), Resources(0.9, 100.0), Resources(1.0, 85.0))
-    beats = [beat(f"x{n}", has=has) for n, has in enumerate(strengths)]
-    assert named(*beats) == ["x0", "x1", "x2"]
+    heartbeats = [heartbeat(f"x{n}", has=has) for n, has in enumerate(strengths)]
+    assert named(*heartbeats) == ["x0", "x1", "x2"]
 
 
 def test_answer_is_bounded() -> None:
-    assert len(named(*(beat(f"x{n:03}") for n in range(100)), most=64)) == 64
+    assert len(named(*(heartbeat(f"x{n:03}") for n in range(100)), most=64)) == 64
--- a/testing/policies/test_plan_checks.py
+++ b/testing/policies/test_plan_checks.py
@@ -1,4 +1,4 @@
-"""Tests of the checks that a plan has to pass before it is written."""
+"""Tests of the checks that a plan must pass before it is written."""
 
 from __future__ import annotations
 
@@ -50,12 +50,12 @@
 
 
 @pytest.mark.parametrize(("more", "excess"), [(0, False), (1, True)])
-def test_grants_are_refused_when_they_exceed_the_slots(more: int, excess: bool) -> None:
+def test_grants_are_rejected_when_they_exceed_slots(more: int, excess: bool) -> None:
     made = plan(grant("first", SLOTS - 4), grant("second", 4 + more))
     assert bool(excess_grants(made, None, ENVIRONMENT)) is excess
 
 
-def test_grants_may_stay_too_large_but_not_grow_when_the_slots_have_shrunk() -> None:
+def test_excess_grants_may_stay_but_not_grow_when_slots_were_reduced() -> None:
     before = plan(grant("first", SLOTS + 2))
     same = plan(grant("first", SLOTS), grant("second", 2))
     more = plan(grant("first", SLOTS + 3))
@@ -63,7 +63,7 @@
     assert excess_grants(more, before, ENVIRONMENT)
 
 
-def test_moves_are_refused_when_together_they_exceed_the_cap() -> None:
+def test_shifts_are_rejected_when_their_sum_exceeds_cap() -> None:
     first, second = shift(CAP / 2), shift(CAP / 2 + 0.01, second=1)
     assert not excess_shifts(plan(shifts=(first,)), None, ENVIRONMENT)
     assert excess_shifts(
@@ -71,7 +71,7 @@
     )
 
 
-def test_earlier_moves_over_a_smaller_cap_do_not_stop_a_plan_without_moves() -> None:
+def test_plan_without_shifts_passes_when_earlier_shifts_exceed_cap() -> None:
     before = plan(shifts=(shift(CAP * 2),))
     assert not excess_shifts(before, before, ENVIRONMENT)
 
--- a/testing/policies/test_quotas.py
+++ b/testing/policies/test_quotas.py
@@ -1,4 +1,4 @@
-"""Tests of the slots of each worker that grants stand for."""
+"""Tests of the assignment of worker slots to grants."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     st.lists(st.integers(1, 6), min_size=1, max_size=6),
     st.lists(st.integers(0, 8), min_size=1, max_size=5),
 )
-def test_quotas_fit_each_worker_and_use_whole_grants(
+def test_quotas_fit_each_worker_and_use_grants_completely(
     slots: list[int], sizes: list[int]
 ) -> None:
     workers = [worker(number, count) for number, count in enumerate(slots)]
--- a/testing/policies/test_route_table.py
+++ b/testing/policies/test_route_table.py
@@ -1,4 +1,4 @@
-"""Tests of routes by host and prefix, and of weighted services."""
+"""Tests of route matching and of the choice among weighted services."""
 
 from __future__ import annotations
 
--- a/testing/policies/test_steering.py
+++ b/testing/policies/test_steering.py
@@ -1,4 +1,4 @@
-"""Tests of steering by headroom."""
+"""Tests of the headroom steering policy."""
 
 from __future__ import annotations
 
@@ -49,7 +49,12 @@
     lost: str = "",
     age: timedelta = NEW,
 ) -> SteeringView:
-    """Return a view in which every region has the same use of each service."""
+    """Return a view with the same utilisation of each service in every region.
+
+    :param use: utilisation, from 0 to 1 and above.
+    :param lost: region whose workers are all unusable.
+    :param age: age of the worker reports.
+    """
     pairs = {(route.service, route.rank) for route in environment.routes}
     ranks = {s: [r for name, r in pairs if name == s] for s in environment.services}
     demands = tuple(
@@ -75,7 +80,7 @@
 def run(
     view: SteeringView, seconds: int, previous: Plan | None = None
 ) -> list[PlanDecision]:
-    """Make a plan every second."""
+    """Make one plan per second."""
     decided: list[PlanDecision] = []
     for second in range(seconds):
         made = make_plan(view, previous, START + timedelta(seconds=second))
@@ -115,7 +120,7 @@
     assert emitted(decided, 3307)
 
 
-def test_everything_has_moved_when_region_is_lost_for_minutes() -> None:
+def test_all_traffic_has_moved_when_region_is_lost_for_minutes() -> None:
     (calm,) = run(view_of(), 1)
     decided = run(view_of(lost="vanua"), 300, calm.plan)
     for rank in (Rank.URGENT, Rank.DEFERRABLE):
@@ -143,7 +148,7 @@
     assert emitted(decided, 3301)
 
 
-def test_last_safe_routes_stay_when_measurements_are_missing() -> None:
+def test_routes_stay_when_measurements_are_missing() -> None:
     (calm,) = run(view_of(), 1)
     decided = run(replace(view_of(), workers=()), 5, calm.plan)
     assert decided[-1].plan.routes == calm.plan.routes
@@ -151,7 +156,7 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_last_safe_routes_stay_when_demand_is_unknown(known: bool) -> None:
+def test_routes_stay_when_demand_is_unknown(known: bool) -> None:
     (calm,) = run(view_of(), 1)
     old = tuple(replace(d, age=timedelta(minutes=1)) for d in view_of().demands)
     view = replace(view_of(lost="vanua"), demands=old if known else ())
@@ -162,12 +167,12 @@
 
 def test_report_is_discounted_when_outcomes_contradict_it() -> None:
     name = next(iter(VATUKOULA.workers))
-    lying = tuple(
+    contradicted = tuple(
         replace(r, load=0.1, failures=0.8) if r.worker == name else r
         for r in view_of().workers
     )
     before = assess(view_of())
-    after = assess(replace(view_of(), workers=lying))
+    after = assess(replace(view_of(), workers=contradicted))
     key = ("viti-west", "balance")
     assert [e.number for e in after.events] == [3303]
     assert after.capacities[key].rate < before.capacities[key].rate
@@ -213,7 +218,7 @@
 
 
 def check_moves(previous, plan, view, now, moved) -> None:
-    """Check the cap from the routes alone (I1)."""
+    """Check the shift cap from the routes alone (I1)."""
     old = {(r.service, r.source, r.rank): r for r in previous.routes}
     rates = {(d.service, d.source, d.rank): d.rate for d in view.demands}
     for service in LACTEOS.services:
@@ -236,7 +241,7 @@
 
 
 def check_links(previous, plan, view) -> None:
-    """Check that moves fill no link past its budget (I3)."""
+    """Check that moves load no link beyond its budget (I3)."""
     before, after = link_use(previous, view), link_use(plan, view)
     for link, used in after.items():
         if used > before[link] + 1:
