--- a/packages/policies/src/sycamorenotch_policies/_lease.py
+++ b/packages/policies/src/sycamorenotch_policies/_lease.py
@@ -13,8 +13,8 @@
 from sycamorenotch_kernel import InstanceState
 from sycamorenotch_kernel import ListedInstance
 from sycamorenotch_kernel import Version
-from sycamorenotch_policies._lease_life import LeaseStatus
-from sycamorenotch_policies._lease_life import new_lease_state_machine
+from sycamorenotch_policies._lease_state_machine import LeaseStatus
+from sycamorenotch_policies._lease_state_machine import new_lease_state_machine
 
 # Share of the duration for which the holder no longer acts. It covers clocks that
 # run at different rates and the time between a check of the clock and a write.
--- a/packages/policies/src/sycamorenotch_policies/_membership.py
+++ b/packages/policies/src/sycamorenotch_policies/_membership.py
@@ -13,8 +13,8 @@
 from sycamorenotch_kernel import MemberState
 from sycamorenotch_kernel import Rumour
 from sycamorenotch_policies._fleet import FleetMember
-from sycamorenotch_policies._member_life import MemberStateMachine
-from sycamorenotch_policies._member_life import new_member_state_machine
+from sycamorenotch_policies._member_state_machine import MemberStateMachine
+from sycamorenotch_policies._member_state_machine import new_member_state_machine
 
 SUSPECT_AFTER = timedelta(seconds=3)
 GONE_AFTER = timedelta(seconds=6)
