--- a/packages/gateway/src/sycamorenotch_gateway/_beats.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_beats.py
@@ -15,7 +15,7 @@
 
 from sycamorenotch_kernel import PeerEntry
 from sycamorenotch_kernel import Resources
-from sycamorenotch_policies import Beat
+from sycamorenotch_policies import Heartbeat
 from sycamorenotch_policies import Signature
 from sycamorenotch_policies import Strike
 
@@ -98,10 +98,10 @@
     def __init__(self) -> None:
         # By identifier and start; after a step of the wall clock a later start
         # may bear an earlier moment.
-        self._described: OrderedDict[tuple[str, int], Beat] = OrderedDict()
+        self._described: OrderedDict[tuple[str, int], Heartbeat] = OrderedDict()
 
     def encode(
-        self, beat: Beat, strikes: tuple[Strike, ...], *, whole: bool = False
+        self, beat: Heartbeat, strikes: tuple[Strike, ...], *, whole: bool = False
     ) -> bytes:
         """Return the datagram of a beat.
 
@@ -122,7 +122,7 @@
         packed: bytes = msgpack.packb(message.model_dump(by_alias=True))
         return packed
 
-    def decode(self, datagram: bytes) -> tuple[Beat | None, tuple[Strike, ...]]:
+    def decode(self, datagram: bytes) -> tuple[Heartbeat | None, tuple[Strike, ...]]:
         """Return the beat of a datagram, and the strikes that it tells.
 
         The beat is missing if its instance has not been described yet.
@@ -140,7 +140,7 @@
         self._describe(beat)
         return beat, tuple(map(_strike, message.strikes))
 
-    def _pulse(self, message: PulseMessage) -> Beat | None:
+    def _pulse(self, message: PulseMessage) -> Heartbeat | None:
         known = self._described.get((message.id, message.started))
         if known is None:
             return None
@@ -149,7 +149,7 @@
             known, sequence=message.sequence, ready=message.ready, uses=uses
         )
 
-    def _describe(self, beat: Beat) -> None:
+    def _describe(self, beat: Heartbeat) -> None:
         key = (beat.entry.id, beat.entry.started)
         self._described[key] = beat
         self._described.move_to_end(key)
@@ -157,7 +157,7 @@
             self._described.popitem(last=False)
 
 
-def _whole(beat: Beat, strikes: tuple[Strike, ...]) -> BeatMessage:
+def _whole(beat: Heartbeat, strikes: tuple[Strike, ...]) -> BeatMessage:
     entry = beat.entry
     return BeatMessage(
         id=entry.id,
@@ -177,8 +177,8 @@
     )
 
 
-def _beat(message: BeatMessage) -> Beat:
-    return Beat(
+def _beat(message: BeatMessage) -> Heartbeat:
+    return Heartbeat(
         PeerEntry(
             message.id,
             message.region,
--- a/packages/gateway/src/sycamorenotch_gateway/_peers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_peers.py
@@ -23,7 +23,7 @@
 from sycamorenotch_kernel import Resources
 from sycamorenotch_kernel import Topic
 from sycamorenotch_kernel import gateway_components
-from sycamorenotch_policies import Beat
+from sycamorenotch_policies import Heartbeat
 from sycamorenotch_policies import Liveness
 from sycamorenotch_policies import UsageMeter
 from sycamorenotch_policies import beat_interval_s
@@ -106,7 +106,7 @@
         """Live instances, this one included."""
         return 1 + len(self.liveness.live(self._node.clock()))
 
-    def serving(self) -> tuple[Beat, ...]:
+    def serving(self) -> tuple[Heartbeat, ...]:
         """Return the beats of instances that take requests, this one included."""
         others = self.liveness.serving(self._node.clock())
         return (*others, self._own_beat()) if self.ready else others
@@ -116,9 +116,9 @@
         """What this instance used of its machine lately."""
         return self.usage.read(self._node.clock(), self._node.processor_clock())
 
-    def _own_beat(self) -> Beat:
+    def _own_beat(self) -> Heartbeat:
         has = self._node.settings.resources
-        return Beat(self.entry, self._sequence, self.ready, has, self.uses)
+        return Heartbeat(self.entry, self._sequence, self.ready, has, self.uses)
 
     def tell_now(self) -> None:
         """Tell every peer at once, after a change of this instance's state."""
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -71,7 +71,7 @@
 from sycamorenotch_policies._lease import WriteLease
 from sycamorenotch_policies._lease import lease_candidates
 from sycamorenotch_policies._ledger import ShiftLedger
-from sycamorenotch_policies._liveness import Beat
+from sycamorenotch_policies._liveness import Heartbeat
 from sycamorenotch_policies._liveness import Liveness
 from sycamorenotch_policies._liveness import beat_interval_s
 from sycamorenotch_policies._lookup import LookupAnswer
@@ -137,7 +137,6 @@
     "AdmissionSetup",
     "Admitted",
     "Assessment",
-    "Beat",
     "BlockTable",
     "BudgetedRetry",
     "Choice",
@@ -173,6 +172,7 @@
     "GiveUp",
     "GrantDecision",
     "GrantHolding",
+    "Heartbeat",
     "IdleTrust",
     "InstanceContact",
     "Lease",
--- a/packages/policies/src/sycamorenotch_policies/_liveness.py
+++ b/packages/policies/src/sycamorenotch_policies/_liveness.py
@@ -31,7 +31,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     """State that an instance reports of itself in a heartbeat.
 
     :param sequence: rises with each heartbeat of one start.
@@ -50,7 +50,7 @@
 @final
 @dataclass(slots=True)
 class _Received:
-    heartbeat: Beat
+    heartbeat: Heartbeat
     received_at: float
 
 
@@ -72,7 +72,7 @@
         """Set the entries of the store; an entry is no evidence of a live instance."""
         self._known = {entry.id: entry for entry in entries if entry.id != self._me}
 
-    def hear(self, heartbeat: Beat, now: float) -> bool:
+    def hear(self, heartbeat: Heartbeat, now: float) -> bool:
         """Record a heartbeat; one that is not newer than the last is discarded.
 
         :param now: monotonic clock in seconds.
@@ -105,7 +105,7 @@
             and not received.heartbeat.entry.leaving
         )
 
-    def serving(self, now: float) -> tuple[Beat, ...]:
+    def serving(self, now: float) -> tuple[Heartbeat, ...]:
         """Return the newest heartbeats of the others that accept requests."""
         live = {entry.id for entry in self.live(now)}
         return tuple(
@@ -137,5 +137,5 @@
         return MISSED_HEARTBEATS * beat_interval_s(len(self._received) + 1)
 
 
-def _version(heartbeat: Beat) -> tuple[int, int]:
+def _version(heartbeat: Heartbeat) -> tuple[int, int]:
     return heartbeat.entry.started, heartbeat.sequence
--- a/packages/policies/src/sycamorenotch_policies/_named_instances.py
+++ b/packages/policies/src/sycamorenotch_policies/_named_instances.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from sycamorenotch_kernel import PeerEntry
-from sycamorenotch_policies._liveness import Beat
+from sycamorenotch_policies._liveness import Heartbeat
 
 # Above this utilisation of processors or links weaker instances are named too. The
 # rest absorbs the load of one failed instance out of two.
@@ -18,7 +18,7 @@
 
 
 def lookup_answer(
-    serving: Iterable[Beat], region: str, data_centre: str, most: int
+    serving: Iterable[Heartbeat], region: str, data_centre: str, most: int
 ) -> tuple[PeerEntry, ...]:
     """Return the instances that a look-up answer names to a caller.
 
@@ -38,19 +38,19 @@
     return tuple(heartbeat.entry for heartbeat in chosen[:most])
 
 
-def _strongest(heartbeats: list[Beat]) -> list[Beat]:
+def _strongest(heartbeats: list[Heartbeat]) -> list[Heartbeat]:
     """Return the fewest groups of similar instances that can carry the load of all."""
     if not heartbeats:
         return []
     processors = max(heartbeat.has.processors for heartbeat in heartbeats)
     link = max(heartbeat.has.link_mbps for heartbeat in heartbeats)
 
-    def strength(heartbeat: Beat) -> float:
+    def strength(heartbeat: Heartbeat) -> float:
         return min(
             heartbeat.has.processors / processors, heartbeat.has.link_mbps / link
         )
 
-    chosen: list[Beat] = []
+    chosen: list[Heartbeat] = []
     rest = sorted(heartbeats, key=strength, reverse=True)
     while rest and not (
         len(chosen) >= MIN_INSTANCES and _have_capacity(chosen, heartbeats)
@@ -61,7 +61,7 @@
     return sorted(chosen, key=lambda heartbeat: heartbeat.entry.id)
 
 
-def _have_capacity(chosen: list[Beat], heartbeats: list[Beat]) -> bool:
+def _have_capacity(chosen: list[Heartbeat], heartbeats: list[Heartbeat]) -> bool:
     """Return whether the chosen instances have capacity for the load of all."""
     processors = (
         sum(heartbeat.has.processors for heartbeat in chosen) * TARGET_UTILISATION
--- a/testing/gateway/test_beats.py
+++ b/testing/gateway/test_beats.py
@@ -13,7 +13,7 @@
 from sycamorenotch_gateway._beats import BeatCodec
 from sycamorenotch_kernel import PeerEntry
 from sycamorenotch_kernel import Resources
-from sycamorenotch_policies import Beat
+from sycamorenotch_policies import Heartbeat
 from sycamorenotch_policies import Signature
 from sycamorenotch_policies import Strike
 
@@ -22,9 +22,9 @@
 STRIKE = Strike(Signature("s"), "i-1", "a-1/1", 1, timedelta(seconds=1))
 
 
-def beat(sequence: int = REGULAR, **changes) -> Beat:
+def beat(sequence: int = REGULAR, **changes) -> Heartbeat:
     entry = dataclasses.replace(ENTRY, **changes)
-    return Beat(entry, sequence, True, Resources(2.0, 200.0), Resources(0.25, 3.5))
+    return Heartbeat(entry, sequence, True, Resources(2.0, 200.0), Resources(0.25, 3.5))
 
 
 @pytest.fixture
--- a/testing/policies/test_liveness.py
+++ b/testing/policies/test_liveness.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sycamorenotch_kernel import PeerEntry
-from sycamorenotch_policies import Beat
+from sycamorenotch_policies import Heartbeat
 from sycamorenotch_policies import Liveness
 
 
@@ -14,9 +14,9 @@
     return PeerEntry(name, region, place, f"{name}:1", f"{name}:2", started, leaving)
 
 
-def heartbeat(name: str, sequence: int = 1, **changes) -> Beat:
+def heartbeat(name: str, sequence: int = 1, **changes) -> Heartbeat:
     ready = changes.pop("ready", True)
-    return Beat(peer(name, **changes), sequence, ready)
+    return Heartbeat(peer(name, **changes), sequence, ready)
 
 
 @pytest.fixture
--- a/testing/policies/test_named_instances.py
+++ b/testing/policies/test_named_instances.py
@@ -6,7 +6,7 @@
 
 from sycamorenotch_kernel import PeerEntry
 from sycamorenotch_kernel import Resources
-from sycamorenotch_policies import Beat
+from sycamorenotch_policies import Heartbeat
 from sycamorenotch_policies import lookup_answer
 
 REGIONS = {"a": "west", "b": "west", "c": "east"}
@@ -14,12 +14,12 @@
 WEAK = Resources(0.4, 10.0)
 
 
-def heartbeat(name: str, place: str = "a", has=STRONG, uses=None) -> Beat:
+def heartbeat(name: str, place: str = "a", has=STRONG, uses=None) -> Heartbeat:
     entry = PeerEntry(name, REGIONS[place], place, f"{name}:1", f"{name}:2", 1)
-    return Beat(entry, 1, True, has, uses or Resources(0.0, 0.0))
+    return Heartbeat(entry, 1, True, has, uses or Resources(0.0, 0.0))
 
 
-def named(*heartbeats: Beat, place: str = "a", most: int = 64) -> list[str]:
+def named(*heartbeats: Heartbeat, place: str = "a", most: int = 64) -> list[str]:
     found = lookup_answer(heartbeats, REGIONS[place], place, most)
     return [entry.id for entry in found]
 
