--- a/packages/gateway/src/sycamorenotch_gateway/_peers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_peers.py
@@ -26,7 +26,7 @@
 from sycamorenotch_policies import Heartbeat
 from sycamorenotch_policies import Liveness
 from sycamorenotch_policies import UsageMeter
-from sycamorenotch_policies import beat_interval_s
+from sycamorenotch_policies import heartbeat_interval_s
 
 # Largest datagram that is read; a beat is far smaller.
 DATAGRAM_BYTES = 2_048
@@ -143,7 +143,7 @@
         self._send_beats()
         for name in self.liveness.lost(self._node.clock()):
             self._node.sink.emit(PeerLost(name, self.live_count))
-        return timedelta(seconds=beat_interval_s(len(self.liveness.contacts())))
+        return timedelta(seconds=heartbeat_interval_s(len(self.liveness.contacts())))
 
     def _send_beats(self, *, whole: bool = False) -> None:
         message = self._message(whole=whole)
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -73,7 +73,7 @@
 from sycamorenotch_policies._ledger import ShiftLedger
 from sycamorenotch_policies._liveness import Heartbeat
 from sycamorenotch_policies._liveness import Liveness
-from sycamorenotch_policies._liveness import beat_interval_s
+from sycamorenotch_policies._liveness import heartbeat_interval_s
 from sycamorenotch_policies._lookup import LookupAnswer
 from sycamorenotch_policies._lookup import LookupTable
 from sycamorenotch_policies._measurements import Assessment
@@ -234,11 +234,11 @@
     "WriteLease",
     "apportion",
     "assess",
-    "beat_interval_s",
     "excess_grants",
     "excess_links",
     "excess_shifts",
     "fingerprint",
+    "heartbeat_interval_s",
     "lease_candidates",
     "lookup_answer",
     "make_plan",
--- a/packages/policies/src/sycamorenotch_policies/_liveness.py
+++ b/packages/policies/src/sycamorenotch_policies/_liveness.py
@@ -21,7 +21,7 @@
 NO_USAGE = Resources(0.0, 0.0)
 
 
-def beat_interval_s(peers: int) -> float:
+def heartbeat_interval_s(peers: int) -> float:
     """Return the interval between heartbeats to each peer, in seconds.
 
     :param peers: number of peers.
@@ -134,7 +134,7 @@
         return all(unit_interval(key, entry.id) <= mine for entry in self.live(now))
 
     def _timeout_s(self) -> float:
-        return MISSED_HEARTBEATS * beat_interval_s(len(self._received) + 1)
+        return MISSED_HEARTBEATS * heartbeat_interval_s(len(self._received) + 1)
 
 
 def _version(heartbeat: Heartbeat) -> tuple[int, int]:
