--- a/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
@@ -20,7 +20,7 @@
 from sycamorenotch_kernel import InstanceId
 from sycamorenotch_kernel import Plan
 from sycamorenotch_kernel import components
-from sycamorenotch_policies import GrantHolding
+from sycamorenotch_policies import HeldGrants
 
 QUESTION_INTERVAL = timedelta(seconds=1)
 
@@ -42,13 +42,13 @@
         self._mesh = node.require(PeerMesh)
         self._watch = node.require(PlanWatch)
         self._holder = node.require(PlanHolder)
-        self._holding = GrantHolding(self._me)
+        self._holding = HeldGrants(self._me)
         self._loop = background(node.reactor, node.sink, self._turn)
         self._question = 0
         self._asked_at = timedelta()
         self._mesh.handle(PlanQuestion, self._on_question)
         self._mesh.handle(PlanConfirmation, self._on_confirmation)
-        node.provide(GrantHolding, self._holding)
+        node.provide(HeldGrants, self._holding)
 
     async def start(self) -> None:
         """Start to ask."""
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_routing.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_routing.py
@@ -17,7 +17,7 @@
 from sycamorenotch_kernel import PlanRoute
 from sycamorenotch_kernel import RegionShare
 from sycamorenotch_kernel import components
-from sycamorenotch_policies import GrantHolding
+from sycamorenotch_policies import HeldGrants
 from sycamorenotch_policies import worker_quotas
 
 FOLLOW_INTERVAL_S = 0.5
@@ -38,7 +38,7 @@
         self._node = node
         self._admission = node.require(Admission)
         self._upstreams = node.require(Upstreams)
-        self._holding = node.require(GrantHolding)
+        self._holding = node.require(HeldGrants)
         self._plan = node.require(PlanView)  # type: ignore[type-abstract]
         self._loop = LoopingCall(self._follow)
         self._loop.clock = node.reactor
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -51,7 +51,7 @@
 from sycamorenotch_policies._distribution import ConfigurationText
 from sycamorenotch_policies._distribution import Confirmation
 from sycamorenotch_policies._fleet import FleetMember
-from sycamorenotch_policies._grant_holding import GrantHolding
+from sycamorenotch_policies._grant_holding import HeldGrants
 from sycamorenotch_policies._grants import GONE_GRACE
 from sycamorenotch_policies._grants import LAPSE_MARGIN
 from sycamorenotch_policies._grants import LOAN_LIFE
@@ -171,8 +171,8 @@
     "FleetMember",
     "GiveUp",
     "GrantDecision",
-    "GrantHolding",
     "Heartbeat",
+    "HeldGrants",
     "IdleTrust",
     "InstanceContact",
     "Lease",
--- a/packages/policies/src/sycamorenotch_policies/_grant_holding.py
+++ b/packages/policies/src/sycamorenotch_policies/_grant_holding.py
@@ -11,7 +11,7 @@
 
 
 @final
-class GrantHolding:
+class HeldGrants:
     """Grants of one instance, timed by its own monotonic clock.
 
     No slot is usable before the lease holder has confirmed a plan to this
--- a/packages/workbench/src/sycamorenotch_workbench/_bench_entry.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_bench_entry.py
@@ -25,7 +25,7 @@
 from sycamorenotch_policies import Admitted
 from sycamorenotch_policies import ChoiceSetup
 from sycamorenotch_policies import FailedAttempt
-from sycamorenotch_policies import GrantHolding
+from sycamorenotch_policies import HeldGrants
 from sycamorenotch_policies import Outcome
 from sycamorenotch_policies import Refused
 from sycamorenotch_policies import Retry
@@ -66,7 +66,7 @@
     ) -> None:
         self.listed = listed
         self.alive = True
-        self.holding = GrantHolding(listed.id)
+        self.holding = HeldGrants(listed.id)
         self._steered = bool(system.steering)
         self._fleet = fleet
         self._random = random
--- a/testing/daemon/plan/test_plan_asker.py
+++ b/testing/daemon/plan/test_plan_asker.py
@@ -17,7 +17,7 @@
 from sycamorenotch_kernel import InstanceId
 from sycamorenotch_kernel import Message
 from sycamorenotch_kernel import Rank
-from sycamorenotch_policies import GrantHolding
+from sycamorenotch_policies import HeldGrants
 
 SECOND = timedelta(seconds=1)
 FIRST, OTHER = InstanceId("first"), InstanceId("second")
@@ -57,7 +57,7 @@
 
 
 def slots(instance: Any) -> int:
-    holding = instance.node.require(GrantHolding)
+    holding = instance.node.require(HeldGrants)
     now = instance.node.clock.monotonic()
     return int(holding.slots("viti-west", "balance", now))
 
--- a/testing/daemon/plan/test_plan_routing.py
+++ b/testing/daemon/plan/test_plan_routing.py
@@ -25,7 +25,7 @@
 from sycamorenotch_kernel import PlanRoute
 from sycamorenotch_kernel import Rank
 from sycamorenotch_kernel import RegionShare
-from sycamorenotch_policies import GrantHolding
+from sycamorenotch_policies import HeldGrants
 
 EXAMPLE = Path(__file__).parents[3] / "examples" / "vatukoula.ini"
 ENVIRONMENT = parse_environment(EXAMPLE.read_text())
@@ -66,8 +66,8 @@
 
 
 @pytest.fixture
-def holding() -> GrantHolding:
-    return GrantHolding(ME)
+def holding() -> HeldGrants:
+    return HeldGrants(ME)
 
 
 @pytest.fixture
@@ -76,7 +76,7 @@
 
 
 @pytest.fixture
-def routing(recorder: Recorder, holding: GrantHolding, clock: ManualClock) -> Any:
+def routing(recorder: Recorder, holding: HeldGrants, clock: ManualClock) -> Any:
     route = PlanRoute("balance", "viti-west", Rank.STANDARD, SHARES)
     grants = (grant("viti-west", 4, 2), grant("vanua", 1, 1))
     made_at = datetime(2026, 1, 1, tzinfo=UTC)
@@ -85,7 +85,7 @@
     services = {
         Admission: recorder,
         Upstreams: recorder,
-        GrantHolding: holding,
+        HeldGrants: holding,
         PlanView: SimpleNamespace(plan=lambda: plan),
     }
     node = SimpleNamespace(
@@ -99,7 +99,7 @@
 
 
 def test_calls_follow_grants_and_routes_when_plan_is_confirmed(
-    routing: Any, recorder: Recorder, holding: GrantHolding, clock: ManualClock
+    routing: Any, recorder: Recorder, holding: HeldGrants, clock: ManualClock
 ) -> None:
     holding.confirm(3, clock.monotonic())
     routing._follow()
@@ -109,7 +109,7 @@
 
 
 def test_only_floors_are_used_when_loans_lapsed(
-    routing: Any, recorder: Recorder, holding: GrantHolding, clock: ManualClock
+    routing: Any, recorder: Recorder, holding: HeldGrants, clock: ManualClock
 ) -> None:
     holding.confirm(3, clock.monotonic())
     clock.advance(LOAN_LIFE)
--- a/testing/policies/test_grants.py
+++ b/testing/policies/test_grants.py
@@ -20,7 +20,7 @@
 from sycamorenotch_policies import GONE_GRACE
 from sycamorenotch_policies import LAPSE_MARGIN
 from sycamorenotch_policies import LOAN_LIFE
-from sycamorenotch_policies import GrantHolding
+from sycamorenotch_policies import HeldGrants
 from sycamorenotch_policies import InstanceContact
 from sycamorenotch_policies import apportion
 from sycamorenotch_policies import regrant
@@ -63,7 +63,7 @@
         """Start with a plan that every instance has confirmed."""
         self.now = timedelta()
         self.plan: Plan | None = None
-        self.holdings = {name: GrantHolding(name) for name in NAMES}
+        self.holdings = {name: HeldGrants(name) for name in NAMES}
         self.alive = set(NAMES)
         self.gone_since: dict[InstanceId, timedelta] = {}
         self.confirmed_at = dict.fromkeys(NAMES, timedelta())
@@ -120,7 +120,7 @@
     def restart(self, name: InstanceId) -> None:
         """Restart the process of an instance, which loses its state."""
         if name in self.alive:
-            self.holdings[name] = GrantHolding(name)
+            self.holdings[name] = HeldGrants(name)
 
     @rule(name=names)
     def kill(self, name: InstanceId) -> None:
@@ -200,7 +200,7 @@
 
 
 def test_loan_lapses_when_answer_was_late(first: Plan) -> None:
-    holding = GrantHolding(NAMES[0])
+    holding = HeldGrants(NAMES[0])
     holding.accept(first)
     holding.confirm(first.sequence, timedelta())
     just_before = LOAN_LIFE - timedelta(milliseconds=1)
@@ -209,7 +209,7 @@
 
 
 def test_nothing_is_usable_when_holder_never_confirmed(first: Plan) -> None:
-    holding = GrantHolding(NAMES[0])
+    holding = HeldGrants(NAMES[0])
     holding.accept(first)
     assert holding.slots(*POOL, timedelta()) == 0
 
@@ -235,7 +235,7 @@
 def test_loan_is_not_renewed_when_confirmation_is_for_another_plan(
     first: Plan,
 ) -> None:
-    holding = GrantHolding(NAMES[0])
+    holding = HeldGrants(NAMES[0])
     holding.accept(first)
     assert holding.confirm(first.sequence, timedelta())
     assert not holding.confirm(first.sequence + 1, LOAN_LIFE)
