--- a/packages/daemon/src/sycamorenotch_daemon/_membership.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership.py
@@ -23,7 +23,7 @@
 from sycamorenotch_kernel import components
 from sycamorenotch_policies import FleetMember
 from sycamorenotch_policies import Membership
-from sycamorenotch_policies import PeerNews
+from sycamorenotch_policies import PeerState
 from sycamorenotch_policies import Transition
 from sycamorenotch_policies import neighbours
 from sycamorenotch_policies import successor
@@ -192,7 +192,7 @@
 
     def _on_heartbeat(self, peer: PeerIdentity, message: Heartbeat) -> None:
         now = self._now()
-        news = PeerNews(
+        news = PeerState(
             peer.instance,
             peer.region,
             peer.data_centre,
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -79,7 +79,7 @@
 from sycamorenotch_policies._measurements import Assessment
 from sycamorenotch_policies._measurements import assess
 from sycamorenotch_policies._membership import Membership
-from sycamorenotch_policies._membership import PeerNews
+from sycamorenotch_policies._membership import PeerState
 from sycamorenotch_policies._membership import Transition
 from sycamorenotch_policies._named_instances import lookup_answer
 from sycamorenotch_policies._outcomes import Outcome
@@ -194,7 +194,7 @@
     "NeverRetry",
     "NoRoom",
     "Outcome",
-    "PeerNews",
+    "PeerState",
     "PlainRetry",
     "PlanDecision",
     "Quarantine",
--- a/packages/policies/src/sycamorenotch_policies/_membership.py
+++ b/packages/policies/src/sycamorenotch_policies/_membership.py
@@ -72,7 +72,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class PeerNews:
+class PeerState:
     """State that a peer reports of itself in a heartbeat.
 
     :param incarnation: number of the peer's start; refuting a suspicion raises it.
@@ -125,7 +125,7 @@
                 self._unsettled.add(member.instance)
         return self.tick(now)
 
-    def heard(self, news: PeerNews, now: timedelta) -> tuple[Transition, ...]:
+    def heard(self, news: PeerState, now: timedelta) -> tuple[Transition, ...]:
         """Apply the state that a peer reported of itself over its own stream."""
         member = self._members.get(news.instance) or self._add(news.instance, now)
         if news.incarnation < member.incarnation:
--- a/packages/workbench/src/sycamorenotch_workbench/_slopes_memory.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_slopes_memory.py
@@ -10,7 +10,7 @@
 from sycamorenotch_kernel import InstanceState
 from sycamorenotch_kernel import ListedInstance
 from sycamorenotch_policies import Membership
-from sycamorenotch_policies import PeerNews
+from sycamorenotch_policies import PeerState
 from sycamorenotch_workbench._slopes_common import microseconds
 from sycamorenotch_workbench._slopes_common import resident_bytes
 
@@ -49,7 +49,7 @@
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     members.tick(timedelta())
-    heard = PeerNews(InstanceId("entry-0001"), "region-1", "centre-1", 2, False, 3, "")
+    heard = PeerState(InstanceId("entry-0001"), "region-1", "centre-1", 2, False, 3, "")
     now = timedelta(seconds=1)
     heard_us = microseconds(lambda: members.heard(heard, now), 2000)
     tick_us = microseconds(lambda: members.tick(now), 20)
--- a/testing/policies/test_membership.py
+++ b/testing/policies/test_membership.py
@@ -12,7 +12,7 @@
 from sycamorenotch_kernel import MemberState
 from sycamorenotch_kernel import Rumour
 from sycamorenotch_policies import Membership
-from sycamorenotch_policies import PeerNews
+from sycamorenotch_policies import PeerState
 from sycamorenotch_policies import neighbours
 from sycamorenotch_policies import successor
 from sycamorenotch_policies import watchers
@@ -29,8 +29,8 @@
 
 def peer_state(
     incarnation: int, *, leaving: bool = False, generation: int = 1
-) -> PeerNews:
-    return PeerNews(B, "r", "r-0", incarnation, leaving, generation, "")
+) -> PeerState:
+    return PeerState(B, "r", "r-0", incarnation, leaving, generation, "")
 
 
 def listed(*others: str) -> Membership:
