--- a/packages/daemon/src/sycamorenotch_daemon/_lease.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_lease.py
@@ -27,8 +27,8 @@
 from sycamorenotch_policies import LeaseCommand
 from sycamorenotch_policies import LeaseFailed
 from sycamorenotch_policies import LeaseFound
-from sycamorenotch_policies import LeaseInput
 from sycamorenotch_policies import LeaseMissing
+from sycamorenotch_policies import LeaseResult
 from sycamorenotch_policies import LeaseWritten
 from sycamorenotch_policies import ReadLease
 from sycamorenotch_policies import lease_candidates
@@ -112,7 +112,7 @@
         me = InstanceId(self._node.settings.instance)
         return not self._node.stopping and me in lease_candidates(self._name, instances)
 
-    def _take(self, event: LeaseInput) -> None:
+    def _take(self, event: LeaseResult) -> None:
         self._lease.feed(event, self._node.clock.monotonic())
         if not isinstance(event, LeaseFailed):
             self._failures = 0
@@ -132,7 +132,7 @@
             self._node.sink.emit(LeaseAcquired(self._name, term))
         self._acting_term = term
 
-    async def _perform(self, command: LeaseCommand) -> LeaseInput:
+    async def _perform(self, command: LeaseCommand) -> LeaseResult:
         store = self._node.store
         if isinstance(command, ReadLease):
             return _read(await store.get(LEASE_KIND, self._name, CALL_TIMEOUT))
@@ -148,7 +148,7 @@
         )
 
 
-def _read(result: Result[StoredObject, StoreError]) -> LeaseInput:
+def _read(result: Result[StoredObject, StoreError]) -> LeaseResult:
     if result.is_ok():
         return _found(result.ok)
     if result.error.fault is StoreFault.NOT_FOUND:
@@ -156,7 +156,7 @@
     return LeaseFailed(f"{result.error.fault.value}: {result.error.detail}")
 
 
-def _written(result: Result[StoredObject, StoreError]) -> LeaseInput:
+def _written(result: Result[StoredObject, StoreError]) -> LeaseResult:
     if result.is_ok():
         return LeaseWritten(result.ok.version)
     current = result.error.current
@@ -165,7 +165,7 @@
     return _read(result)
 
 
-def _found(stored: StoredObject) -> LeaseInput:
+def _found(stored: StoredObject) -> LeaseResult:
     decoded = decode_lease(stored.value)
     if decoded.is_error():
         return LeaseFailed(decoded.error)
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -63,9 +63,9 @@
 from sycamorenotch_policies._lease import LeaseCommand
 from sycamorenotch_policies._lease import LeaseFailed
 from sycamorenotch_policies._lease import LeaseFound
-from sycamorenotch_policies._lease import LeaseInput
 from sycamorenotch_policies._lease import LeaseMissing
 from sycamorenotch_policies._lease import LeaseRecord
+from sycamorenotch_policies._lease import LeaseResult
 from sycamorenotch_policies._lease import LeaseWritten
 from sycamorenotch_policies._lease import ReadLease
 from sycamorenotch_policies._lease import WriteLease
@@ -179,9 +179,9 @@
     "LeaseCommand",
     "LeaseFailed",
     "LeaseFound",
-    "LeaseInput",
     "LeaseMissing",
     "LeaseRecord",
+    "LeaseResult",
     "LeaseWritten",
     "Liveness",
     "LoadReport",
--- a/packages/policies/src/sycamorenotch_policies/_lease.py
+++ b/packages/policies/src/sycamorenotch_policies/_lease.py
@@ -76,7 +76,7 @@
     detail: str
 
 
-LeaseInput = LeaseFound | LeaseMissing | LeaseWritten | LeaseFailed
+LeaseResult = LeaseFound | LeaseMissing | LeaseWritten | LeaseFailed
 
 
 @final
@@ -182,7 +182,7 @@
         self._valid_until = now
         return self._write(now, attempt, self.term, released=True)
 
-    def feed(self, event: LeaseInput, now: timedelta) -> None:
+    def feed(self, event: LeaseResult, now: timedelta) -> None:
         """Apply the result of the last call to the store.
 
         :param now: monotonic clock of this instance.
--- a/testing/policies/test_lease.py
+++ b/testing/policies/test_lease.py
@@ -18,8 +18,8 @@
 from sycamorenotch_policies import Lease
 from sycamorenotch_policies import LeaseFailed
 from sycamorenotch_policies import LeaseFound
-from sycamorenotch_policies import LeaseInput
 from sycamorenotch_policies import LeaseMissing
+from sycamorenotch_policies import LeaseResult
 from sycamorenotch_policies import LeaseWritten
 from sycamorenotch_policies import ReadLease
 from sycamorenotch_policies import WriteLease
@@ -36,7 +36,7 @@
         self.current: LeaseFound | None = None
         self.version = 0
 
-    def perform(self, command: ReadLease | WriteLease) -> LeaseInput:
+    def perform(self, command: ReadLease | WriteLease) -> LeaseResult:
         if isinstance(command, ReadLease):
             return self.current or LeaseMissing()
         expected = None if self.current is None else self.current.version
