--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -54,7 +54,7 @@
 from sycamorenotch_policies._grant_holding import HeldGrants
 from sycamorenotch_policies._grants import GONE_GRACE
 from sycamorenotch_policies._grants import LAPSE_MARGIN
-from sycamorenotch_policies._grants import LOAN_LIFE
+from sycamorenotch_policies._grants import LOAN_LIFETIME
 from sycamorenotch_policies._grants import GrantDecision
 from sycamorenotch_policies._grants import apportion
 from sycamorenotch_policies._grants import regrant
@@ -130,7 +130,7 @@
     "BODY_LIMIT_BYTES",
     "GONE_GRACE",
     "LAPSE_MARGIN",
-    "LOAN_LIFE",
+    "LOAN_LIFETIME",
     "AdmissionDecision",
     "AdmissionDecisions",
     "AdmissionDiscipline",
--- a/packages/policies/src/sycamorenotch_policies/_grants.py
+++ b/packages/policies/src/sycamorenotch_policies/_grants.py
@@ -27,7 +27,7 @@
 from sycamorenotch_policies._steering_view import InstanceContact
 from sycamorenotch_policies._steering_view import SteeringView
 
-LOAN_LIFE = timedelta(seconds=5)
+LOAN_LIFETIME = timedelta(seconds=5)
 # Allows for monotonic clocks that run at different rates.
 LAPSE_MARGIN = timedelta(seconds=1)
 GONE_GRACE = timedelta(seconds=30)
@@ -144,7 +144,7 @@
     spare_slots = capacity - sum(bounds.values())
     increased: list[Grant] = []
     for name in sorted(targets.keys() | reduced.keys()):
-        empty = Grant(name, *pool, 0, 0, LOAN_LIFE)
+        empty = Grant(name, *pool, 0, 0, LOAN_LIFETIME)
         grant = _increase(
             reduced.get(name, empty),
             targets.get(name, (0, 0)),
@@ -222,7 +222,7 @@
         grant.service,
         new_floor,
         max(0, new_total - new_floor),
-        LOAN_LIFE,
+        LOAN_LIFETIME,
     )
 
 
@@ -238,7 +238,7 @@
     total = min(sum(target), max(bound, _total(grant)) + max(0, spare_slots))
     floor = min(max(grant.floor, target[0]), total)
     return Grant(
-        grant.instance, grant.region, grant.service, floor, total - floor, LOAN_LIFE
+        grant.instance, grant.region, grant.service, floor, total - floor, LOAN_LIFETIME
     )
 
 
@@ -272,7 +272,7 @@
 
 
 def _is_silent(contact: InstanceContact | None) -> bool:
-    return contact is not None and contact.silence >= LOAN_LIFE + LAPSE_MARGIN
+    return contact is not None and contact.silence >= LOAN_LIFETIME + LAPSE_MARGIN
 
 
 def _is_smaller(new: Grant, old: Grant) -> bool:
--- a/testing/daemon/plan/test_plan_routing.py
+++ b/testing/daemon/plan/test_plan_routing.py
@@ -30,7 +30,7 @@
 EXAMPLE = Path(__file__).parents[3] / "examples" / "vatukoula.ini"
 ENVIRONMENT = parse_environment(EXAMPLE.read_text())
 ME = InstanceId("entry-0")
-LOAN_LIFE = timedelta(seconds=5)
+LOAN_LIFETIME = timedelta(seconds=5)
 SHARES = (RegionShare("vanua", 0.2), RegionShare("viti-west", 0.8))
 
 
@@ -57,7 +57,7 @@
 
 
 def grant(region: str, floor: int, loan: int) -> Grant:
-    return Grant(ME, region, "balance", floor, loan, LOAN_LIFE)
+    return Grant(ME, region, "balance", floor, loan, LOAN_LIFETIME)
 
 
 @pytest.fixture
@@ -112,7 +112,7 @@
     routing: Any, recorder: Recorder, holding: HeldGrants, clock: ManualClock
 ) -> None:
     holding.confirm(3, clock.monotonic())
-    clock.advance(LOAN_LIFE)
+    clock.advance(LOAN_LIFETIME)
     routing._follow()
     assert recorder.grants == {"balance": 5}
 
--- a/testing/policies/test_grants.py
+++ b/testing/policies/test_grants.py
@@ -19,7 +19,7 @@
 from sycamorenotch_kernel import Plan
 from sycamorenotch_policies import GONE_GRACE
 from sycamorenotch_policies import LAPSE_MARGIN
-from sycamorenotch_policies import LOAN_LIFE
+from sycamorenotch_policies import LOAN_LIFETIME
 from sycamorenotch_policies import HeldGrants
 from sycamorenotch_policies import InstanceContact
 from sycamorenotch_policies import apportion
@@ -180,7 +180,7 @@
 
 
 def test_loan_but_not_floor_is_reallocated_when_instance_is_silent(first: Plan) -> None:
-    silence = (LOAN_LIFE + LAPSE_MARGIN).total_seconds()
+    silence = (LOAN_LIFETIME + LAPSE_MARGIN).total_seconds()
     contacts = (contact(NAMES[0], 1), contact(NAMES[1], 1, int(silence)))
     second = next_plan(first, {NAMES[0]: 1.0, NAMES[1]: 1.0}, contacts)
     assert granted(second, NAMES[1]) == 6
@@ -203,9 +203,9 @@
     holding = HeldGrants(NAMES[0])
     holding.accept(first)
     holding.confirm(first.sequence, timedelta())
-    just_before = LOAN_LIFE - timedelta(milliseconds=1)
+    just_before = LOAN_LIFETIME - timedelta(milliseconds=1)
     assert holding.slots(*POOL, just_before) == 12
-    assert holding.slots(*POOL, LOAN_LIFE) == 6
+    assert holding.slots(*POOL, LOAN_LIFETIME) == 6
 
 
 def test_nothing_is_usable_when_holder_never_confirmed(first: Plan) -> None:
@@ -226,7 +226,7 @@
 
 
 def test_loan_is_kept_when_it_may_not_have_lapsed_yet(first: Plan) -> None:
-    silence = int(LOAN_LIFE.total_seconds())
+    silence = int(LOAN_LIFETIME.total_seconds())
     contacts = (contact(NAMES[0], 1), contact(NAMES[1], 1, silence))
     second = next_plan(first, {NAMES[0]: 1.0, NAMES[1]: 1.0}, contacts)
     assert granted(second, NAMES[0]) == 12
@@ -238,5 +238,5 @@
     holding = HeldGrants(NAMES[0])
     holding.accept(first)
     assert holding.confirm(first.sequence, timedelta())
-    assert not holding.confirm(first.sequence + 1, LOAN_LIFE)
-    assert holding.slots(*POOL, LOAN_LIFE) == 6
+    assert not holding.confirm(first.sequence + 1, LOAN_LIFETIME)
+    assert holding.slots(*POOL, LOAN_LIFETIME) == 6
