--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -52,7 +52,7 @@
 from sycamorenotch_policies._distribution import Confirmation
 from sycamorenotch_policies._fleet import FleetMember
 from sycamorenotch_policies._grant_holding import HeldGrants
-from sycamorenotch_policies._grants import GONE_GRACE
+from sycamorenotch_policies._grants import GONE_GRACE_PERIOD
 from sycamorenotch_policies._grants import LAPSE_MARGIN
 from sycamorenotch_policies._grants import LOAN_LIFETIME
 from sycamorenotch_policies._grants import GrantDecision
@@ -128,7 +128,7 @@
 
 __all__ = [
     "BODY_LIMIT_BYTES",
-    "GONE_GRACE",
+    "GONE_GRACE_PERIOD",
     "LAPSE_MARGIN",
     "LOAN_LIFETIME",
     "AdmissionDecision",
--- a/packages/policies/src/sycamorenotch_policies/_grants.py
+++ b/packages/policies/src/sycamorenotch_policies/_grants.py
@@ -30,7 +30,7 @@
 LOAN_LIFETIME = timedelta(seconds=5)
 # Allows for monotonic clocks that run at different rates.
 LAPSE_MARGIN = timedelta(seconds=1)
-GONE_GRACE = timedelta(seconds=30)
+GONE_GRACE_PERIOD = timedelta(seconds=30)
 FLOOR_SHARE = 0.5
 # Grants stay while the fair split differs from them by at most this share.
 CHANGE_TOLERANCE = 0.2
@@ -267,7 +267,9 @@
 
 def _is_gone(contact: InstanceContact | None) -> bool:
     return (
-        contact is not None and contact.gone is not None and contact.gone >= GONE_GRACE
+        contact is not None
+        and contact.gone is not None
+        and contact.gone >= GONE_GRACE_PERIOD
     )
 
 
--- a/testing/policies/test_grants.py
+++ b/testing/policies/test_grants.py
@@ -17,7 +17,7 @@
 
 from sycamorenotch_kernel import InstanceId
 from sycamorenotch_kernel import Plan
-from sycamorenotch_policies import GONE_GRACE
+from sycamorenotch_policies import GONE_GRACE_PERIOD
 from sycamorenotch_policies import LAPSE_MARGIN
 from sycamorenotch_policies import LOAN_LIFETIME
 from sycamorenotch_policies import HeldGrants
@@ -190,7 +190,7 @@
 def test_floor_is_reallocated_when_gone_instance_exceeds_grace_period(
     first: Plan,
 ) -> None:
-    grace = int(GONE_GRACE.total_seconds())
+    grace = int(GONE_GRACE_PERIOD.total_seconds())
     early = (contact(NAMES[0], 1), contact(NAMES[1], 1, grace, grace - 1))
     second = next_plan(first, {NAMES[0]: 1.0}, early)
     assert granted(second, NAMES[0]) == 18
