--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -57,7 +57,7 @@
 from sycamorenotch_policies._grants import LOAN_LIFETIME
 from sycamorenotch_policies._grants import GrantDecision
 from sycamorenotch_policies._grants import apportion
-from sycamorenotch_policies._grants import regrant
+from sycamorenotch_policies._grants import reallocate_grants
 from sycamorenotch_policies._idle_trust import IdleTrust
 from sycamorenotch_policies._lease import Lease
 from sycamorenotch_policies._lease import LeaseCommand
@@ -244,7 +244,7 @@
     "make_plan",
     "neighbours",
     "pick_service",
-    "regrant",
+    "reallocate_grants",
     "sign_request",
     "successor",
     "unit_interval",
--- a/packages/policies/src/sycamorenotch_policies/_grants.py
+++ b/packages/policies/src/sycamorenotch_policies/_grants.py
@@ -70,10 +70,12 @@
     leaving = frozenset(
         item.id for item in view.instances if item.state is InstanceState.LEAVING
     )
-    return regrant(capacities, demand_weights, view.contacts, previous, leaving)
+    return reallocate_grants(
+        capacities, demand_weights, view.contacts, previous, leaving
+    )
 
 
-def regrant(
+def reallocate_grants(
     capacities: Mapping[Pool, int],
     demand_weights: Mapping[Pool, Mapping[InstanceId, float]],
     contacts: Iterable[InstanceContact],
--- a/testing/policies/test_grants.py
+++ b/testing/policies/test_grants.py
@@ -23,7 +23,7 @@
 from sycamorenotch_policies import HeldGrants
 from sycamorenotch_policies import InstanceContact
 from sycamorenotch_policies import apportion
-from sycamorenotch_policies import regrant
+from sycamorenotch_policies import reallocate_grants
 
 POOL = ("viti-west", "balance")
 CAPACITY = 24
@@ -42,7 +42,7 @@
     contacts: tuple[InstanceContact, ...],
     capacity: int = CAPACITY,
 ) -> Plan:
-    decided = regrant({POOL: capacity}, {POOL: wants}, contacts, previous)
+    decided = reallocate_grants({POOL: capacity}, {POOL: wants}, contacts, previous)
     return Plan(
         1,
         decided.sequence,
