--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -38,8 +38,8 @@
 from sycamorenotch_policies import RetryTerms
 from sycamorenotch_policies import Wanted
 from sycamorenotch_policies import WorkerChoice
+from sycamorenotch_policies import hash_to_unit_interval
 from sycamorenotch_policies import pick_service
-from sycamorenotch_policies import unit_interval
 
 # Patience of a caller that names none on a route without a time limit.
 DEFAULT_PATIENCE_S = 30.0
@@ -127,7 +127,7 @@
         held = self._suspicion.refusal(self._suspicion.sign(call))
         if held is not None:
             return Error(held)
-        progress.service = pick_service(route, unit_interval("split", call.id))
+        progress.service = pick_service(route, hash_to_unit_interval("split", call.id))
         patience = DEFAULT_PATIENCE_S if call.patience_s is None else call.patience_s
         patience = max(LEAST_REMAINING_S, patience - ANSWER_MARGIN_S)
         bound = patience if route.timeout_s is None else min(patience, route.timeout_s)
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -105,8 +105,8 @@
 from sycamorenotch_policies._retry_allowance import RetryAllowance
 from sycamorenotch_policies._retry_allowance import RetryTerms
 from sycamorenotch_policies._route_table import RouteTable
+from sycamorenotch_policies._route_table import hash_to_unit_interval
 from sycamorenotch_policies._route_table import pick_service
-from sycamorenotch_policies._route_table import unit_interval
 from sycamorenotch_policies._steering import make_plan
 from sycamorenotch_policies._steering_view import Demand
 from sycamorenotch_policies._steering_view import InstanceContact
@@ -238,6 +238,7 @@
     "excess_links",
     "excess_shifts",
     "fingerprint",
+    "hash_to_unit_interval",
     "heartbeat_interval_s",
     "lease_candidates",
     "lookup_answer",
@@ -247,7 +248,6 @@
     "reallocate_grants",
     "sign_request",
     "successor",
-    "unit_interval",
     "watchers",
     "worker_quotas",
 ]
--- a/packages/policies/src/sycamorenotch_policies/_liveness.py
+++ b/packages/policies/src/sycamorenotch_policies/_liveness.py
@@ -8,7 +8,7 @@
 
 from sycamorenotch_kernel import PeerEntry
 from sycamorenotch_kernel import Resources
-from sycamorenotch_policies._route_table import unit_interval
+from sycamorenotch_policies._route_table import hash_to_unit_interval
 
 # Single datagrams get lost; a loss of five in a row is rare.
 MISSED_HEARTBEATS = 5
@@ -130,8 +130,10 @@
 
         Each key has one owner if all live instances agree on who is alive.
         """
-        mine = unit_interval(key, self._me)
-        return all(unit_interval(key, entry.id) <= mine for entry in self.live(now))
+        mine = hash_to_unit_interval(key, self._me)
+        return all(
+            hash_to_unit_interval(key, entry.id) <= mine for entry in self.live(now)
+        )
 
     def _timeout_s(self) -> float:
         return MISSED_HEARTBEATS * heartbeat_interval_s(len(self._received) + 1)
--- a/packages/policies/src/sycamorenotch_policies/_route_table.py
+++ b/packages/policies/src/sycamorenotch_policies/_route_table.py
@@ -12,7 +12,7 @@
 HASH_RANGE = float(2 ** (8 * HASH_BYTES))
 
 
-def unit_interval(*parts: str) -> float:
+def hash_to_unit_interval(*parts: str) -> float:
     """Hash texts to a number from 0 (inclusive) to 1 (exclusive)."""
     digest = blake2b("|".join(parts).encode(), digest_size=HASH_BYTES).digest()
     return int.from_bytes(digest, "big") / HASH_RANGE
--- a/packages/policies/src/sycamorenotch_policies/_worker_choice.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_choice.py
@@ -13,7 +13,7 @@
 from sycamorenotch_kernel import RequestKind
 from sycamorenotch_kernel import ServiceLimits
 from sycamorenotch_kernel import worker_choices
-from sycamorenotch_policies._route_table import unit_interval
+from sycamorenotch_policies._route_table import hash_to_unit_interval
 from sycamorenotch_policies._worker_book import WorkerView
 
 # Load for each slot beyond which a request would be too late at most workers.
@@ -151,5 +151,5 @@
 
     def _rank(self, key: str, view: WorkerView) -> float:
         """Weighted rendezvous: the least value owns the object."""
-        draw = unit_interval(key, view.entry.id) or 1e-12
+        draw = hash_to_unit_interval(key, view.entry.id) or 1e-12
         return -log(draw) / view.entry.slots
