--- a/packages/daemon/src/sycamorenotch_daemon/_configuration.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_configuration.py
@@ -129,7 +129,7 @@
         if stored.version < in_force:
             self._node.sink.emit(StoreBehind(stored.version, in_force))
             return
-        self._confirmation.store_gave()
+        self._confirmation.record_store_read()
         self._put(ConfigurationText.of(stored.version, stored.value))
 
     def _put(self, candidate: ConfigurationText) -> None:
--- a/packages/policies/src/sycamorenotch_policies/_distribution.py
+++ b/packages/policies/src/sycamorenotch_policies/_distribution.py
@@ -96,7 +96,7 @@
         self.confirmed = False
         self._peer_generations: dict[str, int] = {}
 
-    def store_gave(self) -> None:
+    def record_store_read(self) -> None:
         """Record that the configuration was read from the store."""
         self.confirmed = True
 
--- a/testing/policies/test_distribution.py
+++ b/testing/policies/test_distribution.py
@@ -93,5 +93,5 @@
 
 def test_configuration_from_store_is_confirmed_without_peers() -> None:
     confirmation = Confirmation()
-    confirmation.store_gave()
+    confirmation.record_store_read()
     assert confirmation.judge(1, 0)
