--- a/packages/daemon/src/sycamorenotch_daemon/_configuration.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_configuration.py
@@ -151,7 +151,7 @@
                     self._pushed[peer.instance] = generation
 
     def _on_heartbeat(self, peer: PeerIdentity, message: Heartbeat) -> None:
-        self._confirmation.peer_stated(peer.instance, message.generation)
+        self._confirmation.record_peer_generation(peer.instance, message.generation)
         current = self._node.configuration.current
         generation = self._node.configuration.generation
         if message.generation > generation:
--- a/packages/policies/src/sycamorenotch_policies/_distribution.py
+++ b/packages/policies/src/sycamorenotch_policies/_distribution.py
@@ -100,7 +100,7 @@
         """Record that the configuration was read from the store."""
         self.confirmed = True
 
-    def peer_stated(self, peer: str, generation: int) -> None:
+    def record_peer_generation(self, peer: str, generation: int) -> None:
         """Record the generation in force at a peer."""
         if not self.confirmed:
             self._peer_generations[peer] = generation
--- a/testing/policies/test_distribution.py
+++ b/testing/policies/test_distribution.py
@@ -82,12 +82,12 @@
 def test_configuration_from_peers_is_confirmed_when_none_is_newer() -> None:
     confirmation = Confirmation()
     assert not confirmation.judge(0, 2)
-    confirmation.peer_stated("a", 3)
+    confirmation.record_peer_generation("a", 3)
     assert not confirmation.judge(3, 2)
-    confirmation.peer_stated("b", 4)
+    confirmation.record_peer_generation("b", 4)
     assert not confirmation.judge(3, 2)
     assert confirmation.judge(4, 2)
-    confirmation.peer_stated("c", 9)
+    confirmation.record_peer_generation("c", 9)
     assert confirmation.judge(4, 2)
 
 
