--- a/packages/daemon/src/sycamorenotch_daemon/_configuration.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_configuration.py
@@ -92,7 +92,7 @@
     def is_ready(self) -> bool:
         """Return whether a configuration is in force that no peer contradicts."""
         generation = self._node.configuration.generation
-        return self._confirmation.judge(generation, len(self._mesh.connected()))
+        return self._confirmation.try_confirm(generation, len(self._mesh.connected()))
 
     async def _read(self) -> None:
         name = self._node.settings.environment
--- a/packages/policies/src/sycamorenotch_policies/_distribution.py
+++ b/packages/policies/src/sycamorenotch_policies/_distribution.py
@@ -105,7 +105,7 @@
         if not self.confirmed:
             self._peer_generations[peer] = generation
 
-    def judge(self, generation: int, reachable: int) -> bool:
+    def try_confirm(self, generation: int, reachable: int) -> bool:
         """Return whether the generation may be served; a confirmation is permanent.
 
         :param generation: generation in force at this instance.
--- a/testing/policies/test_distribution.py
+++ b/testing/policies/test_distribution.py
@@ -81,17 +81,17 @@
 
 def test_configuration_from_peers_is_confirmed_when_none_is_newer() -> None:
     confirmation = Confirmation()
-    assert not confirmation.judge(0, 2)
+    assert not confirmation.try_confirm(0, 2)
     confirmation.record_peer_generation("a", 3)
-    assert not confirmation.judge(3, 2)
+    assert not confirmation.try_confirm(3, 2)
     confirmation.record_peer_generation("b", 4)
-    assert not confirmation.judge(3, 2)
-    assert confirmation.judge(4, 2)
+    assert not confirmation.try_confirm(3, 2)
+    assert confirmation.try_confirm(4, 2)
     confirmation.record_peer_generation("c", 9)
-    assert confirmation.judge(4, 2)
+    assert confirmation.try_confirm(4, 2)
 
 
 def test_configuration_from_store_is_confirmed_without_peers() -> None:
     confirmation = Confirmation()
     confirmation.record_store_read()
-    assert confirmation.judge(1, 0)
+    assert confirmation.try_confirm(1, 0)
