--- a/packages/daemon/src/sycamorenotch_daemon/_configuration.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_configuration.py
@@ -146,7 +146,7 @@
             sent = self._pushed.get(peer.instance, 0)
             base = max(sent, known.get(peer.instance, 0))
             if peer.data_centre == centre and base < generation:
-                push = self._history.push_to(base)
+                push = self._history.make_push(base)
                 if push is not None and self._mesh.send(peer.instance, push):
                     self._pushed[peer.instance] = generation
 
@@ -170,7 +170,7 @@
             self._requested_at = now
 
     def _on_request(self, peer: PeerIdentity, message: ConfigurationRequest) -> None:
-        push = self._history.push_to(message.generation)
+        push = self._history.make_push(message.generation)
         if push is not None:
             self._mesh.send(peer.instance, push)
 
--- a/packages/policies/src/sycamorenotch_policies/_distribution.py
+++ b/packages/policies/src/sycamorenotch_policies/_distribution.py
@@ -51,7 +51,7 @@
         """The text in force, or None before the first."""
         return next(reversed(self._texts.values()), None)
 
-    def push_to(self, generation: int) -> ConfigurationPush | None:
+    def make_push(self, generation: int) -> ConfigurationPush | None:
         """Return the push that brings a peer up to date, or None if it is current.
 
         :param generation: generation in force at the peer; 0 for none.
--- a/packages/workbench/src/sycamorenotch_workbench/_slopes_messages.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_slopes_messages.py
@@ -59,10 +59,10 @@
     history = ConfigurationHistory()
     history.add(old)
     history.add(new)
-    push = history.push_to(1)
-    whole = history.push_to(0)
+    push = history.make_push(1)
+    whole = history.make_push(0)
     assert push is not None and whole is not None
-    make_us = microseconds(lambda: history.push_to(1), 20)
+    make_us = microseconds(lambda: history.make_push(1), 20)
     apply_us = microseconds(lambda: history.text_of(push), 20)
     parse_us = microseconds(
         lambda: parse_environment(decode_document(new.text).text), 3
--- a/testing/policies/test_distribution.py
+++ b/testing/policies/test_distribution.py
@@ -20,7 +20,7 @@
     for generation, text in enumerate(texts, start=1):
         before = 0 if receiver.newest is None else receiver.newest.generation
         sender.add(ConfigurationText.of(generation, text))
-        push = sender.push_to(before)
+        push = sender.make_push(before)
         assert push is not None
         received = receiver.text_of(push)
         assert received == sender.newest
@@ -37,7 +37,7 @@
         before = sender.newest.generation if sender.newest else 0
         text = b"start %d end" % generation * generation
         sender.add(ConfigurationText.of(generation, text))
-        pushes[generation] = sender.push_to(before)
+        pushes[generation] = sender.make_push(before)
     for generation in (*order, *repeated):
         in_force = receiver.newest.generation if receiver.newest else 0
         push = pushes[generation]
@@ -55,11 +55,11 @@
     history.add(ConfigurationText.of(1, b"\n".join(lines)))
     lines[10], lines[2900] = b"another line", b"one more"
     history.add(ConfigurationText.of(2, b"\n".join(lines)))
-    push = history.push_to(1)
+    push = history.make_push(1)
     assert push is not None
     assert sum(len(piece.new) for piece in push.pieces) < 40
-    assert history.push_to(2) is None
-    assert [piece.new for piece in history.push_to(0).pieces] == [history.newest.text]
+    assert history.make_push(2) is None
+    assert [piece.new for piece in history.make_push(0).pieces] == [history.newest.text]
 
 
 @given(st.lists(st.sampled_from(PARTS), max_size=9), st.lists(st.sampled_from(PARTS)))
@@ -73,7 +73,7 @@
 def test_push_is_rejected_when_damaged() -> None:
     history = ConfigurationHistory()
     history.add(ConfigurationText.of(1, b"text"))
-    push = history.push_to(0)
+    push = history.make_push(0)
     other = ConfigurationText.of(1, b"else")
     damaged = type(push)(1, other.digest, 0, push.pieces)
     assert ConfigurationHistory().text_of(damaged) is None
