--- a/packages/daemon/src/sycamorenotch_daemon/_configuration.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_configuration.py
@@ -177,7 +177,7 @@
     def _on_push(self, peer: PeerIdentity, message: ConfigurationPush) -> None:
         if message.generation <= self._node.configuration.generation:
             return
-        text = self._history.text_of(message)
+        text = self._history.apply_push(message)
         if text is not None:
             self._put(text)
         elif message.base:
--- a/packages/policies/src/sycamorenotch_policies/_distribution.py
+++ b/packages/policies/src/sycamorenotch_policies/_distribution.py
@@ -70,7 +70,7 @@
             difference(older, newest.text),
         )
 
-    def text_of(self, push: ConfigurationPush) -> ConfigurationText | None:
+    def apply_push(self, push: ConfigurationPush) -> ConfigurationText | None:
         """Return the text of a push, or None if it is damaged or lacks its base."""
         base = b""
         if push.base:
--- a/packages/workbench/src/sycamorenotch_workbench/_slopes_messages.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_slopes_messages.py
@@ -63,7 +63,7 @@
     whole = history.make_push(0)
     assert push is not None and whole is not None
     make_us = microseconds(lambda: history.make_push(1), 20)
-    apply_us = microseconds(lambda: history.text_of(push), 20)
+    apply_us = microseconds(lambda: history.apply_push(push), 20)
     parse_us = microseconds(
         lambda: parse_environment(decode_document(new.text).text), 3
     )
--- a/testing/policies/test_distribution.py
+++ b/testing/policies/test_distribution.py
@@ -22,7 +22,7 @@
         sender.add(ConfigurationText.of(generation, text))
         push = sender.make_push(before)
         assert push is not None
-        received = receiver.text_of(push)
+        received = receiver.apply_push(push)
         assert received == sender.newest
         receiver.add(received)
 
@@ -41,7 +41,7 @@
     for generation in (*order, *repeated):
         in_force = receiver.newest.generation if receiver.newest else 0
         push = pushes[generation]
-        text = receiver.text_of(push) if generation > in_force else None
+        text = receiver.apply_push(push) if generation > in_force else None
         if text is not None:
             assert text.text == b"start %d end" % generation * generation
             receiver.add(text)
@@ -76,7 +76,7 @@
     push = history.make_push(0)
     other = ConfigurationText.of(1, b"else")
     damaged = type(push)(1, other.digest, 0, push.pieces)
-    assert ConfigurationHistory().text_of(damaged) is None
+    assert ConfigurationHistory().apply_push(damaged) is None
 
 
 def test_configuration_from_peers_is_confirmed_when_none_is_newer() -> None:
