--- a/packages/policies/src/sycamorenotch_policies/_membership.py
+++ b/packages/policies/src/sycamorenotch_policies/_membership.py
@@ -225,7 +225,7 @@
         member = self._members.get(instance)
         return member is not None and (
             member.state is MemberState.LIVE
-            or (self.is_cut_off() and member.state is not MemberState.LEAVING)
+            or (self.is_partitioned() and member.state is not MemberState.LEAVING)
         )
 
     def is_leaving(self, instance: InstanceId) -> bool:
@@ -233,7 +233,7 @@
         member = self._members.get(instance)
         return member is not None and member.state is MemberState.LEAVING
 
-    def is_cut_off(self) -> bool:
+    def is_partitioned(self) -> bool:
         """Return whether so many others look dead that this instance is partitioned."""
         dead = sum(
             m.state in (MemberState.SUSPECT, MemberState.GONE)
--- a/testing/policies/test_membership.py
+++ b/testing/policies/test_membership.py
@@ -103,7 +103,7 @@
     for name in names[:3]:
         members.asked(InstanceId(name), SECOND)
     members.tick(5 * SECOND)
-    assert members.is_cut_off()
+    assert members.is_partitioned()
     assert all(members.usable(InstanceId(name)) for name in names)
 
 
