--- a/packages/daemon/src/sycamorenotch_daemon/_membership.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership.py
@@ -79,7 +79,7 @@
     def list_is(self, listed: Iterable[ListedInstance]) -> None:
         """Merge the platform's list."""
         self._listed = {entry.id: entry for entry in listed}
-        self._report(self._members.list_is(self._listed.values(), self._now()))
+        self._report(self._members.update_list(self._listed.values(), self._now()))
         self._choose()
         self._mesh.aim(self._aims)
 
--- a/packages/policies/src/sycamorenotch_policies/_membership.py
+++ b/packages/policies/src/sycamorenotch_policies/_membership.py
@@ -106,7 +106,7 @@
         self._unsettled: set[InstanceId] = set()
         self._cursor = 0
 
-    def list_is(
+    def update_list(
         self, listed: Iterable[ListedInstance], now: timedelta
     ) -> tuple[Transition, ...]:
         """Merge the platform's list, which lags behind the peers' own heartbeats.
--- a/packages/workbench/src/sycamorenotch_workbench/_slopes_memory.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_slopes_memory.py
@@ -45,7 +45,7 @@
     tracemalloc.start()
     entries = fleet_entries(count)
     members = Membership(InstanceId("entry-0000"), 1)
-    members.list_is(entries, timedelta())
+    members.update_list(entries, timedelta())
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     members.tick(timedelta())
--- a/testing/policies/test_membership.py
+++ b/testing/policies/test_membership.py
@@ -35,7 +35,7 @@
 
 def listed(*others: str) -> Membership:
     members = Membership(A, 10)
-    members.list_is([entry("a"), *map(entry, others)], timedelta())
+    members.update_list([entry("a"), *map(entry, others)], timedelta())
     return members
 
 
@@ -91,7 +91,7 @@
 def test_member_is_kept_when_list_lags_and_forgotten_later() -> None:
     members = listed("b")
     members.heard(peer_state(5), SECOND)
-    members.list_is([entry("a")], 2 * SECOND)
+    members.update_list([entry("a")], 2 * SECOND)
     assert state(members) is MemberState.LIVE
     members.tick(62 * SECOND)
     assert state(members) is None
