--- a/packages/daemon/src/sycamorenotch_daemon/_membership.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership.py
@@ -201,7 +201,7 @@
             message.generation,
             message.digest.hex(),
         )
-        self._report(self._members.heard(news, now))
+        self._report(self._members.apply_peer_state(news, now))
         for rumour in message.rumours:
             self._report(self._members.rumour(rumour, now))
         if message.answer:
--- a/packages/policies/src/sycamorenotch_policies/_membership.py
+++ b/packages/policies/src/sycamorenotch_policies/_membership.py
@@ -125,19 +125,23 @@
                 self._unsettled.add(member.instance)
         return self.tick(now)
 
-    def heard(self, news: PeerState, now: timedelta) -> tuple[Transition, ...]:
+    def apply_peer_state(
+        self, peer_state: PeerState, now: timedelta
+    ) -> tuple[Transition, ...]:
         """Apply the state that a peer reported of itself over its own stream."""
-        member = self._members.get(news.instance) or self._add(news.instance, now)
-        if news.incarnation < member.incarnation:
+        member = self._members.get(peer_state.instance) or self._add(
+            peer_state.instance, now
+        )
+        if peer_state.incarnation < member.incarnation:
             return ()
-        restarted = news.incarnation > member.incarnation
-        member.incarnation = news.incarnation
-        member.region, member.data_centre = news.region, news.data_centre
+        restarted = peer_state.incarnation > member.incarnation
+        member.incarnation = peer_state.incarnation
+        member.region, member.data_centre = peer_state.region, peer_state.data_centre
         member.last_heard_at = member.last_heartbeat_at = now
         member.awaiting_since = None
-        if restarted or news.generation >= member.generation:
-            member.generation, member.digest = news.generation, news.digest
-        state = MemberState.LEAVING if news.leaving else MemberState.LIVE
+        if restarted or peer_state.generation >= member.generation:
+            member.generation, member.digest = peer_state.generation, peer_state.digest
+        state = MemberState.LEAVING if peer_state.leaving else MemberState.LIVE
         return self._enter(member, state, now)
 
     def rumour(self, rumour: Rumour, now: timedelta) -> tuple[Transition, ...]:
--- a/packages/workbench/src/sycamorenotch_workbench/_slopes_memory.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_slopes_memory.py
@@ -51,7 +51,7 @@
     members.tick(timedelta())
     heard = PeerState(InstanceId("entry-0001"), "region-1", "centre-1", 2, False, 3, "")
     now = timedelta(seconds=1)
-    heard_us = microseconds(lambda: members.heard(heard, now), 2000)
+    heard_us = microseconds(lambda: members.apply_peer_state(heard, now), 2000)
     tick_us = microseconds(lambda: members.tick(now), 20)
     digest_us = microseconds(members.rumours, 2000)
     return (
--- a/testing/policies/test_membership.py
+++ b/testing/policies/test_membership.py
@@ -55,13 +55,13 @@
 
 def test_member_is_live_again_when_it_returns_under_the_same_name() -> None:
     members = listed("b")
-    members.heard(peer_state(5, generation=9), SECOND)
+    members.apply_peer_state(peer_state(5, generation=9), SECOND)
     members.asked(B, SECOND)
     members.tick(4 * SECOND)
     members.tick(10 * SECOND)
     assert state(members) is MemberState.GONE
-    assert members.heard(peer_state(4), 11 * SECOND) == ()
-    members.heard(peer_state(6, generation=3), 11 * SECOND)
+    assert members.apply_peer_state(peer_state(4), 11 * SECOND) == ()
+    members.apply_peer_state(peer_state(6, generation=3), 11 * SECOND)
     (member,) = members.members(11 * SECOND)
     assert (member.state, member.generation) == (MemberState.LIVE, 3)
 
@@ -81,7 +81,7 @@
 
 def test_rumour_is_ignored_when_member_was_just_heard() -> None:
     members = listed("b")
-    members.heard(peer_state(5), SECOND)
+    members.apply_peer_state(peer_state(5), SECOND)
     members.rumour(Rumour(B, 5, MemberState.GONE, 1), 2 * SECOND)
     assert state(members) is MemberState.LIVE
     members.rumour(Rumour(B, 5, MemberState.GONE, 1), 5 * SECOND)
@@ -90,7 +90,7 @@
 
 def test_member_is_kept_when_list_lags_and_forgotten_later() -> None:
     members = listed("b")
-    members.heard(peer_state(5), SECOND)
+    members.apply_peer_state(peer_state(5), SECOND)
     members.update_list([entry("a")], 2 * SECOND)
     assert state(members) is MemberState.LIVE
     members.tick(62 * SECOND)
@@ -109,7 +109,7 @@
 
 def test_member_is_not_usable_when_leaving() -> None:
     members = listed("b")
-    members.heard(peer_state(5, leaving=True), SECOND)
+    members.apply_peer_state(peer_state(5, leaving=True), SECOND)
     assert members.is_leaving(B) and not members.usable(B)
 
 
