--- a/packages/daemon/src/sycamorenotch_daemon/_membership.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership.py
@@ -203,7 +203,7 @@
         )
         self._report(self._members.apply_peer_state(news, now))
         for rumour in message.rumours:
-            self._report(self._members.rumour(rumour, now))
+            self._report(self._members.apply_rumour(rumour, now))
         if message.answer:
             self._mesh.send(peer.instance, self._heartbeat(answer=False))
 
--- a/packages/policies/src/sycamorenotch_policies/_membership.py
+++ b/packages/policies/src/sycamorenotch_policies/_membership.py
@@ -144,7 +144,7 @@
         state = MemberState.LEAVING if peer_state.leaving else MemberState.LIVE
         return self._enter(member, state, now)
 
-    def rumour(self, rumour: Rumour, now: timedelta) -> tuple[Transition, ...]:
+    def apply_rumour(self, rumour: Rumour, now: timedelta) -> tuple[Transition, ...]:
         """Apply what a peer reported of a third instance.
 
         This instance refutes a rumour that it is suspect or gone by raising its
--- a/testing/policies/test_membership.py
+++ b/testing/policies/test_membership.py
@@ -68,23 +68,23 @@
 
 def test_suspicion_is_refuted_when_suspect_receives_rumour() -> None:
     members = Membership(A, 10)
-    members.rumour(Rumour(A, 10, MemberState.SUSPECT, 1), SECOND)
+    members.apply_rumour(Rumour(A, 10, MemberState.SUSPECT, 1), SECOND)
     assert members.incarnation == 11
     others = listed("b")
-    others.rumour(Rumour(B, 5, MemberState.SUSPECT, 1), SECOND)
+    others.apply_rumour(Rumour(B, 5, MemberState.SUSPECT, 1), SECOND)
     assert state(others) is MemberState.SUSPECT
-    others.rumour(Rumour(B, 5, MemberState.LIVE, 1), SECOND)
+    others.apply_rumour(Rumour(B, 5, MemberState.LIVE, 1), SECOND)
     assert state(others) is MemberState.SUSPECT
-    others.rumour(Rumour(B, 6, MemberState.LIVE, 1), SECOND)
+    others.apply_rumour(Rumour(B, 6, MemberState.LIVE, 1), SECOND)
     assert state(others) is MemberState.LIVE
 
 
 def test_rumour_is_ignored_when_member_was_just_heard() -> None:
     members = listed("b")
     members.apply_peer_state(peer_state(5), SECOND)
-    members.rumour(Rumour(B, 5, MemberState.GONE, 1), 2 * SECOND)
+    members.apply_rumour(Rumour(B, 5, MemberState.GONE, 1), 2 * SECOND)
     assert state(members) is MemberState.LIVE
-    members.rumour(Rumour(B, 5, MemberState.GONE, 1), 5 * SECOND)
+    members.apply_rumour(Rumour(B, 5, MemberState.GONE, 1), 5 * SECOND)
     assert state(members) is MemberState.GONE
 
 
