--- a/packages/daemon/src/sycamorenotch_daemon/_membership.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership.py
@@ -170,7 +170,7 @@
         if self._round % WATCHER_ROUNDS == 0:
             targets.update(self._watchers)
         for instance in sorted(targets - {self._me}):
-            self._members.asked(instance, self._now())
+            self._members.expect_answer(instance, self._now())
             self._mesh.send(instance, self._heartbeat(answer=True))
 
     def _choose(self) -> None:
--- a/packages/policies/src/sycamorenotch_policies/_membership.py
+++ b/packages/policies/src/sycamorenotch_policies/_membership.py
@@ -169,7 +169,7 @@
             return ()
         return self._enter(member, rumour.state, now)
 
-    def asked(self, instance: InstanceId, now: timedelta) -> None:
+    def expect_answer(self, instance: InstanceId, now: timedelta) -> None:
         """Record that a heartbeat was sent which the instance should answer."""
         member = self._members.get(instance)
         if member is not None and member.awaiting_since is None:
--- a/testing/policies/test_membership.py
+++ b/testing/policies/test_membership.py
@@ -46,7 +46,7 @@
 
 def test_member_is_suspected_then_gone_when_unanswered() -> None:
     members = listed("b", "c", "d", "e", "f", "g", "h")
-    members.asked(B, SECOND)
+    members.expect_answer(B, SECOND)
     assert members.tick(3 * SECOND) == ()
     assert members.tick(4 * SECOND)[0].state is MemberState.SUSPECT
     assert not members.usable(B)
@@ -56,7 +56,7 @@
 def test_member_is_live_again_when_it_returns_under_the_same_name() -> None:
     members = listed("b")
     members.apply_peer_state(peer_state(5, generation=9), SECOND)
-    members.asked(B, SECOND)
+    members.expect_answer(B, SECOND)
     members.tick(4 * SECOND)
     members.tick(10 * SECOND)
     assert state(members) is MemberState.GONE
@@ -101,7 +101,7 @@
     names = ("b", "c", "d", "e")
     members = listed(*names)
     for name in names[:3]:
-        members.asked(InstanceId(name), SECOND)
+        members.expect_answer(InstanceId(name), SECOND)
     members.tick(5 * SECOND)
     assert members.is_partitioned()
     assert all(members.usable(InstanceId(name)) for name in names)
