--- a/packages/daemon/src/sycamorenotch_daemon/_membership.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership.py
@@ -183,7 +183,7 @@
         self._contacts = neighbours(self._me, self._listed, CONTACTS)
         chosen = {*self._watchers, *self._contacts, self._successor} - {self._me}
         observed = {i for i in chosen if i is not None}
-        self._members.release(observed)
+        self._members.expect_answers_only_from(observed)
         wanted = observed | {i for i in self._kept.values() if i != self._me}
         self._aims = {
             i: self._listed[i].peers for i in sorted(wanted) if i in self._listed
--- a/packages/policies/src/sycamorenotch_policies/_membership.py
+++ b/packages/policies/src/sycamorenotch_policies/_membership.py
@@ -176,7 +176,7 @@
             member.awaiting_since = now
             self._unsettled.add(instance)
 
-    def release(self, observed: Iterable[InstanceId]) -> None:
+    def expect_answers_only_from(self, observed: Iterable[InstanceId]) -> None:
         """Expect no answer from any instance but the observed ones.
 
         :param observed: instances that this daemon still sends heartbeats to.
