--- a/packages/daemon/src/sycamorenotch_daemon/_lease.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_lease.py
@@ -113,7 +113,7 @@
         return not self._node.stopping and me in lease_candidates(self._name, instances)
 
     def _take(self, event: LeaseResult) -> None:
-        self._lease.feed(event, self._node.clock.monotonic())
+        self._lease.apply_result(event, self._node.clock.monotonic())
         if not isinstance(event, LeaseFailed):
             self._failures = 0
             return
--- a/packages/policies/src/sycamorenotch_policies/_lease.py
+++ b/packages/policies/src/sycamorenotch_policies/_lease.py
@@ -182,29 +182,29 @@
         self._valid_until = now
         return self._write(now, attempt, self.term, released=True)
 
-    def feed(self, event: LeaseResult, now: timedelta) -> None:
+    def apply_result(self, result: LeaseResult, now: timedelta) -> None:
         """Apply the result of the last call to the store.
 
         :param now: monotonic clock of this instance.
         """
-        if isinstance(event, LeaseFailed):
+        if isinstance(result, LeaseFailed):
             # The lease may have been renewed while the store was unreachable, so the
             # time without a change starts anew.
             self._observed_at = None
             self._missing = False
             self._state_machine.mark_unknown()
-        elif isinstance(event, LeaseMissing):
+        elif isinstance(result, LeaseMissing):
             self._on_missing()
-        elif isinstance(event, LeaseWritten):
+        elif isinstance(result, LeaseWritten):
             assert self._unconfirmed_write is not None
-            self._confirm(LeaseFound(self._unconfirmed_write, event.version), now)
+            self._confirm(LeaseFound(self._unconfirmed_write, result.version), now)
         elif (
             self._unconfirmed_write is not None
-            and event.record == self._unconfirmed_write
+            and result.record == self._unconfirmed_write
         ):
-            self._confirm(event, now)
+            self._confirm(result, now)
         else:
-            self._on_found(event, now)
+            self._on_found(result, now)
 
     def _write(
         self, now: timedelta, attempt: AttemptId, term: int, *, released: bool = False
--- a/testing/policies/test_lease.py
+++ b/testing/policies/test_lease.py
@@ -67,7 +67,7 @@
         return self.lease.step(self.now, attempt, candidate=True)
 
     def step(self) -> None:
-        self.lease.feed(self.store.perform(self.send()), self.now)
+        self.lease.apply_result(self.store.perform(self.send()), self.now)
 
 
 def pair() -> tuple[Candidate, Candidate]:
@@ -115,7 +115,7 @@
     first, _ = pair()
     first.step()
     first.store.perform(first.send())
-    first.lease.feed(LeaseFailed("lost"), first.now)
+    first.lease.apply_result(LeaseFailed("lost"), first.now)
     assert not first.is_held
     first.step()
     assert first.is_held
@@ -127,7 +127,7 @@
     for _ in range(5):
         first.now += SECOND
         first.send()
-        first.lease.feed(LeaseFailed("down"), first.now)
+        first.lease.apply_result(LeaseFailed("down"), first.now)
     assert not first.is_held
     first.step()
     assert not first.is_held
@@ -140,7 +140,7 @@
     first, second = pair()
     pass_time(first, second, seconds=3)
     second.now += timedelta(hours=3)
-    second.lease.feed(LeaseFailed("down"), second.now)
+    second.lease.apply_result(LeaseFailed("down"), second.now)
     second.step()
     assert not second.lease.is_lapsed(second.now)
 
@@ -150,7 +150,7 @@
     pass_time(first, second, seconds=3)
     released = first.lease.release(first.now, AttemptId("a-last"))
     assert released is not None
-    first.lease.feed(first.store.perform(released), first.now)
+    first.lease.apply_result(first.store.perform(released), first.now)
     assert not first.is_held
     second.step()
     second.step()
@@ -210,7 +210,9 @@
             answer = self.store.perform(sent)
         elif isinstance(sent, WriteLease):
             self.late.append(sent)
-        candidate.lease.feed(answer if answered else LeaseFailed("lost"), candidate.now)
+        candidate.lease.apply_result(
+            answer if answered else LeaseFailed("lost"), candidate.now
+        )
 
     @rule()
     def late_write_arrives(self) -> None:
