--- a/packages/gateway/src/sycamorenotch_gateway/_peers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_peers.py
@@ -174,7 +174,7 @@
         if found.is_error():
             return self._pause(found.error.detail)
         self._failures = 0
-        self.liveness.know(
+        self.liveness.set_entries(
             item.value for item in found.ok.items if item.value is not None
         )
         self._send_beats(whole=True)
--- a/packages/policies/src/sycamorenotch_policies/_liveness.py
+++ b/packages/policies/src/sycamorenotch_policies/_liveness.py
@@ -68,7 +68,7 @@
         self._received: dict[str, _Received] = {}
         self._known: dict[str, PeerEntry] = {}
 
-    def know(self, entries: Iterable[PeerEntry]) -> None:
+    def set_entries(self, entries: Iterable[PeerEntry]) -> None:
         """Set the entries of the store; an entry is no evidence of a live instance."""
         self._known = {entry.id: entry for entry in entries if entry.id != self._me}
 
