--- a/packages/gateway/src/sycamorenotch_gateway/_peers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_peers.py
@@ -135,7 +135,7 @@
         self._suspicion.merge(strikes)
         if beat is None:
             return
-        if self.liveness.hear(beat, self._node.clock()):
+        if self.liveness.observe(beat, self._node.clock()):
             self._node.sink.emit(PeerJoined(beat.entry.id, self.live_count))
             self._send(self._message(whole=True), beat.entry)
 
--- a/packages/policies/src/sycamorenotch_policies/_liveness.py
+++ b/packages/policies/src/sycamorenotch_policies/_liveness.py
@@ -72,7 +72,7 @@
         """Set the entries of the store; an entry is no evidence of a live instance."""
         self._known = {entry.id: entry for entry in entries if entry.id != self._me}
 
-    def hear(self, heartbeat: Heartbeat, now: float) -> bool:
+    def observe(self, heartbeat: Heartbeat, now: float) -> bool:
         """Record a heartbeat; one that is not newer than the last is discarded.
 
         :param now: monotonic clock in seconds.
--- a/testing/policies/test_liveness.py
+++ b/testing/policies/test_liveness.py
@@ -31,35 +31,35 @@
 
 
 def test_instance_is_live_until_its_heartbeats_stop(liveness) -> None:
-    liveness.hear(heartbeat("x"), 0.0)
+    liveness.observe(heartbeat("x"), 0.0)
     assert [entry.id for entry in liveness.live(1.0)] == ["x"]
     assert liveness.live(10.0) == ()
     assert liveness.lost(10.0) == ("x",)
 
 
 def test_instance_is_not_serving_when_leaving(liveness) -> None:
-    liveness.hear(heartbeat("x"), 0.0)
-    liveness.hear(heartbeat("x", 2, leaving=True), 0.1)
+    liveness.observe(heartbeat("x"), 0.0)
+    liveness.observe(heartbeat("x", 2, leaving=True), 0.1)
     assert liveness.serving(0.1) == ()
 
 
 def test_leaving_instance_stays_excluded_when_older_heartbeat_arrives(liveness) -> None:
-    liveness.hear(heartbeat("x", 2, leaving=True), 0.0)
-    liveness.hear(heartbeat("x", 1), 0.1)
+    liveness.observe(heartbeat("x", 2, leaving=True), 0.0)
+    liveness.observe(heartbeat("x", 1), 0.1)
     assert liveness.live(0.1) == ()
 
 
 def test_restarted_instance_is_live_when_its_sequence_is_lower(liveness) -> None:
-    liveness.hear(heartbeat("x", 50, leaving=True), 0.0)
-    liveness.hear(heartbeat("x", 1, started=2), 0.1)
+    liveness.observe(heartbeat("x", 50, leaving=True), 0.0)
+    liveness.observe(heartbeat("x", 1, started=2), 0.1)
     assert [entry.id for entry in liveness.live(0.1)] == ["x"]
 
 
 def test_restarted_instance_is_live_when_its_clock_was_set_back() -> None:
     liveness = Liveness("me")
-    liveness.hear(heartbeat("x", 50, started=9_000), 0.0)
+    liveness.observe(heartbeat("x", 50, started=9_000), 0.0)
     for step in range(1, 21):
-        liveness.hear(heartbeat("x", step, started=4_000), step * 0.25)
+        liveness.observe(heartbeat("x", step, started=4_000), step * 0.25)
         liveness.lost(step * 0.25)
     assert [entry.started for entry in liveness.live(5.0)] == [4_000]
 
@@ -70,7 +70,7 @@
     for name, view in views.items():
         for other in names:
             if other != name:
-                view.hear(heartbeat(other), 0.0)
+                view.observe(heartbeat(other), 0.0)
     for key in range(50):
         assert sum(view.owns(str(key), 0.1) for view in views.values()) == 1
 
@@ -80,5 +80,5 @@
     # Look-ups must stop naming an instance within seven seconds of its end.
     liveness = Liveness("me")
     for number in range(instances - 1):
-        liveness.hear(heartbeat(f"i{number}"), 0.0)
+        liveness.observe(heartbeat(f"i{number}"), 0.0)
     assert liveness.live(7.0) == ()
