--- a/packages/gateway/src/sycamorenotch_gateway/_peers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_peers.py
@@ -143,11 +143,11 @@
         self._send_beats()
         for name in self.liveness.lost(self._node.clock()):
             self._node.sink.emit(PeerLost(name, self.live_count))
-        return timedelta(seconds=heartbeat_interval_s(len(self.liveness.contacts())))
+        return timedelta(seconds=heartbeat_interval_s(len(self.liveness.recipients())))
 
     def _send_beats(self, *, whole: bool = False) -> None:
         message = self._message(whole=whole)
-        for entry in self.liveness.contacts():
+        for entry in self.liveness.recipients():
             self._send(message, entry)
 
     def _message(self, *, whole: bool = False) -> bytes:
--- a/packages/policies/src/sycamorenotch_policies/_liveness.py
+++ b/packages/policies/src/sycamorenotch_policies/_liveness.py
@@ -88,7 +88,7 @@
         self._received[name] = _Received(heartbeat, now)
         return fresh
 
-    def contacts(self) -> tuple[PeerEntry, ...]:
+    def recipients(self) -> tuple[PeerEntry, ...]:
         """Return the instances to send heartbeats to."""
         entries = {
             name: received.heartbeat.entry for name, received in self._received.items()
--- a/testing/policies/test_liveness.py
+++ b/testing/policies/test_liveness.py
@@ -27,7 +27,7 @@
 def test_instance_is_not_live_when_only_its_store_entry_is_known(liveness) -> None:
     liveness.set_entries([peer("x")])
     assert liveness.live(0.0) == ()
-    assert [entry.id for entry in liveness.contacts()] == ["x"]
+    assert [entry.id for entry in liveness.recipients()] == ["x"]
 
 
 def test_instance_is_live_until_its_heartbeats_stop(liveness) -> None:
