--- a/packages/gateway/src/sycamorenotch_gateway/_peers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_peers.py
@@ -141,7 +141,7 @@
 
     async def _beat(self) -> timedelta:
         self._send_beats()
-        for name in self.liveness.lost(self._node.clock()):
+        for name in self.liveness.remove_silent(self._node.clock()):
             self._node.sink.emit(PeerLost(name, self.live_count))
         return timedelta(seconds=heartbeat_interval_s(len(self.liveness.recipients())))
 
--- a/packages/policies/src/sycamorenotch_policies/_liveness.py
+++ b/packages/policies/src/sycamorenotch_policies/_liveness.py
@@ -114,7 +114,7 @@
             if name in live and received.heartbeat.ready
         )
 
-    def lost(self, now: float) -> tuple[str, ...]:
+    def remove_silent(self, now: float) -> tuple[str, ...]:
         """Remove and return the instances whose heartbeats stopped."""
         gone = tuple(
             name
--- a/testing/policies/test_liveness.py
+++ b/testing/policies/test_liveness.py
@@ -34,7 +34,7 @@
     liveness.observe(heartbeat("x"), 0.0)
     assert [entry.id for entry in liveness.live(1.0)] == ["x"]
     assert liveness.live(10.0) == ()
-    assert liveness.lost(10.0) == ("x",)
+    assert liveness.remove_silent(10.0) == ("x",)
 
 
 def test_instance_is_not_serving_when_leaving(liveness) -> None:
@@ -60,7 +60,7 @@
     liveness.observe(heartbeat("x", 50, started=9_000), 0.0)
     for step in range(1, 21):
         liveness.observe(heartbeat("x", step, started=4_000), step * 0.25)
-        liveness.lost(step * 0.25)
+        liveness.remove_silent(step * 0.25)
     assert [entry.started for entry in liveness.live(5.0)] == [4_000]
 
 
