--- a/packages/policies/src/sycamorenotch_policies/_liveness.py
+++ b/packages/policies/src/sycamorenotch_policies/_liveness.py
@@ -36,14 +36,14 @@
 
     :param sequence: rises with each heartbeat of one start.
     :param ready: whether it accepts requests.
-    :param has: processors and link rate that it may use of its machine.
+    :param capacity: processors and link rate that it may use of its machine.
     :param uses: processors and link rate in use since the last reading.
     """
 
     entry: PeerEntry
     sequence: int
     ready: bool
-    has: Resources = DEFAULT_RESOURCES
+    capacity: Resources = DEFAULT_RESOURCES
     uses: Resources = NO_USAGE
 
 
--- a/packages/policies/src/sycamorenotch_policies/_named_instances.py
+++ b/packages/policies/src/sycamorenotch_policies/_named_instances.py
@@ -42,12 +42,13 @@
     """Return the fewest groups of similar instances that can carry the load of all."""
     if not heartbeats:
         return []
-    processors = max(heartbeat.has.processors for heartbeat in heartbeats)
-    link = max(heartbeat.has.link_mbps for heartbeat in heartbeats)
+    processors = max(heartbeat.capacity.processors for heartbeat in heartbeats)
+    link = max(heartbeat.capacity.link_mbps for heartbeat in heartbeats)
 
     def strength(heartbeat: Heartbeat) -> float:
         return min(
-            heartbeat.has.processors / processors, heartbeat.has.link_mbps / link
+            heartbeat.capacity.processors / processors,
+            heartbeat.capacity.link_mbps / link,
         )
 
     chosen: list[Heartbeat] = []
@@ -64,9 +65,11 @@
 def _have_capacity(chosen: list[Heartbeat], heartbeats: list[Heartbeat]) -> bool:
     """Return whether the chosen instances have capacity for the load of all."""
     processors = (
-        sum(heartbeat.has.processors for heartbeat in chosen) * TARGET_UTILISATION
+        sum(heartbeat.capacity.processors for heartbeat in chosen) * TARGET_UTILISATION
+    )
+    link = (
+        sum(heartbeat.capacity.link_mbps for heartbeat in chosen) * TARGET_UTILISATION
     )
-    link = sum(heartbeat.has.link_mbps for heartbeat in chosen) * TARGET_UTILISATION
     return processors >= sum(
         heartbeat.uses.processors for heartbeat in heartbeats
     ) and (link >= sum(heartbeat.uses.link_mbps for heartbeat in heartbeats))
