--- a/packages/gateway/src/sycamorenotch_gateway/_beats.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_beats.py
@@ -116,8 +116,8 @@
                 started=beat.entry.started,
                 sequence=beat.sequence,
                 ready=beat.ready,
-                millicores=round(beat.uses.processors * MILLI),
-                kilobits=round(beat.uses.link_mbps * MILLI),
+                millicores=round(beat.usage.processors * MILLI),
+                kilobits=round(beat.usage.link_mbps * MILLI),
             )
         packed: bytes = msgpack.packb(message.model_dump(by_alias=True))
         return packed
@@ -146,7 +146,7 @@
             return None
         uses = Resources(message.millicores / MILLI, message.kilobits / MILLI)
         return dataclasses.replace(
-            known, sequence=message.sequence, ready=message.ready, uses=uses
+            known, sequence=message.sequence, ready=message.ready, usage=uses
         )
 
     def _describe(self, beat: Heartbeat) -> None:
@@ -171,8 +171,8 @@
         ready=beat.ready,
         processors=beat.capacity.processors,
         link_mbps=beat.capacity.link_mbps,
-        used_processors=beat.uses.processors,
-        used_link_mbps=beat.uses.link_mbps,
+        used_processors=beat.usage.processors,
+        used_link_mbps=beat.usage.link_mbps,
         strikes=tuple(map(_strike_message, strikes)),
     )
 
--- a/packages/policies/src/sycamorenotch_policies/_liveness.py
+++ b/packages/policies/src/sycamorenotch_policies/_liveness.py
@@ -37,14 +37,14 @@
     :param sequence: rises with each heartbeat of one start.
     :param ready: whether it accepts requests.
     :param capacity: processors and link rate that it may use of its machine.
-    :param uses: processors and link rate in use since the last reading.
+    :param usage: processors and link rate in use since the last reading.
     """
 
     entry: PeerEntry
     sequence: int
     ready: bool
     capacity: Resources = DEFAULT_RESOURCES
-    uses: Resources = NO_USAGE
+    usage: Resources = NO_USAGE
 
 
 @final
--- a/packages/policies/src/sycamorenotch_policies/_named_instances.py
+++ b/packages/policies/src/sycamorenotch_policies/_named_instances.py
@@ -71,5 +71,5 @@
         sum(heartbeat.capacity.link_mbps for heartbeat in chosen) * TARGET_UTILISATION
     )
     return processors >= sum(
-        heartbeat.uses.processors for heartbeat in heartbeats
-    ) and (link >= sum(heartbeat.uses.link_mbps for heartbeat in heartbeats))
+        heartbeat.usage.processors for heartbeat in heartbeats
+    ) and (link >= sum(heartbeat.usage.link_mbps for heartbeat in heartbeats))
--- a/testing/policies/test_named_instances.py
+++ b/testing/policies/test_named_instances.py
@@ -14,9 +14,9 @@
 WEAK = Resources(0.4, 10.0)
 
 
-def heartbeat(name: str, place: str = "a", has=STRONG, uses=None) -> Heartbeat:
+def heartbeat(name: str, place: str = "a", capacity=STRONG, usage=None) -> Heartbeat:
     entry = PeerEntry(name, REGIONS[place], place, f"{name}:1", f"{name}:2", 1)
-    return Heartbeat(entry, 1, True, has, uses or Resources(0.0, 0.0))
+    return Heartbeat(entry, 1, True, capacity, usage or Resources(0.0, 0.0))
 
 
 def named(*heartbeats: Heartbeat, place: str = "a", most: int = 64) -> list[str]:
@@ -41,26 +41,30 @@
 
 
 def test_weak_instances_are_left_out_when_strong_ones_have_capacity() -> None:
-    weak = [heartbeat(f"w{n}", has=WEAK, uses=Resources(0.1, 2.0)) for n in range(9)]
-    strong = [heartbeat("s1", uses=Resources(0.1, 10.0)), heartbeat("s2")]
+    weak = [
+        heartbeat(f"w{n}", capacity=WEAK, usage=Resources(0.1, 2.0)) for n in range(9)
+    ]
+    strong = [heartbeat("s1", usage=Resources(0.1, 10.0)), heartbeat("s2")]
     assert named(*weak, *strong) == ["s1", "s2"]
 
 
-@pytest.mark.parametrize("uses", [Resources(1.2, 1.0), Resources(0.1, 120.0)])
-def test_weak_instances_are_named_when_processors_or_links_are_short(uses) -> None:
-    weak = [heartbeat(f"w{n}", has=WEAK) for n in range(9)]
-    strong = [heartbeat("s1", uses=uses), heartbeat("s2", uses=uses)]
+@pytest.mark.parametrize("usage", [Resources(1.2, 1.0), Resources(0.1, 120.0)])
+def test_weak_instances_are_named_when_processors_or_links_are_short(usage) -> None:
+    weak = [heartbeat(f"w{n}", capacity=WEAK) for n in range(9)]
+    strong = [heartbeat("s1", usage=usage), heartbeat("s2", usage=usage)]
     assert len(named(*weak, *strong)) == 11
 
 
 def test_weak_instances_are_named_when_one_strong_one_is_left() -> None:
-    weak = [heartbeat(f"w{n}", has=WEAK) for n in range(3)]
+    weak = [heartbeat(f"w{n}", capacity=WEAK) for n in range(3)]
     assert named(*weak, heartbeat("s1")) == ["s1", "w0", "w1", "w2"]
 
 
 def test_all_instances_are_named_when_strengths_are_similar() -> None:
     strengths = (Resources(1.0, 100.0), Resources(0.9, 100.0), Resources(1.0, 85.0))
-    heartbeats = [heartbeat(f"x{n}", has=has) for n, has in enumerate(strengths)]
+    heartbeats = [
+        heartbeat(f"x{n}", capacity=capacity) for n, capacity in enumerate(strengths)
+    ]
     assert named(*heartbeats) == ["x0", "x1", "x2"]
 
 
