--- a/packages/policies/src/sycamorenotch_policies/_lease.py
+++ b/packages/policies/src/sycamorenotch_policies/_lease.py
@@ -104,12 +104,12 @@
 class Lease:
     """State of a lease at one instance, with one store call at a time.
 
-    :param me: identifier of the instance.
+    :param own_id: identifier of the instance.
     :param duration: validity of the lease from each renewal.
     """
 
-    def __init__(self, me: InstanceId, duration: timedelta) -> None:
-        self._me = me
+    def __init__(self, own_id: InstanceId, duration: timedelta) -> None:
+        self._own_id = own_id
         self._duration = duration
         self._status = LeaseStatus()
         self._state_machine = new_lease_state_machine(self._status)
@@ -209,7 +209,7 @@
     def _write(
         self, now: timedelta, attempt: AttemptId, term: int, *, released: bool = False
     ) -> WriteLease:
-        record = LeaseRecord(self._me, term, attempt, self._duration, released)
+        record = LeaseRecord(self._own_id, term, attempt, self._duration, released)
         self._unconfirmed_write, self._write_sent_at = record, now
         self._state_machine.write()
         return WriteLease(
@@ -232,7 +232,7 @@
 
     def _on_found(self, found: LeaseFound, now: timedelta) -> None:
         record = found.record
-        own = record.holder == self._me and record.term == self._held_term
+        own = record.holder == self._own_id and record.term == self._held_term
         self._unconfirmed_write = None
         self._observe(found, now)
         if own and not record.released:
--- a/packages/policies/src/sycamorenotch_policies/_liveness.py
+++ b/packages/policies/src/sycamorenotch_policies/_liveness.py
@@ -60,17 +60,17 @@
 
     A heartbeat counts for the time in which several more are due.
 
-    :param me: identifier of this instance.
+    :param own_id: identifier of this instance.
     """
 
-    def __init__(self, me: str) -> None:
-        self._me = me
+    def __init__(self, own_id: str) -> None:
+        self._own_id = own_id
         self._received: dict[str, _Received] = {}
         self._known: dict[str, PeerEntry] = {}
 
     def set_entries(self, entries: Iterable[PeerEntry]) -> None:
         """Set the entries of the store; an entry is no evidence of a live instance."""
-        self._known = {entry.id: entry for entry in entries if entry.id != self._me}
+        self._known = {entry.id: entry for entry in entries if entry.id != self._own_id}
 
     def observe(self, heartbeat: Heartbeat, now: float) -> bool:
         """Record a heartbeat; one that is not newer than the last is discarded.
@@ -79,7 +79,7 @@
         :return: whether the instance was not alive before.
         """
         name = heartbeat.entry.id
-        if name == self._me:
+        if name == self._own_id:
             return False
         old = self._received.get(name)
         if old is not None and _version(heartbeat) <= _version(old.heartbeat):
@@ -130,9 +130,10 @@
 
         Each key has one owner if all live instances agree on who is alive.
         """
-        mine = hash_to_unit_interval(key, self._me)
+        own_weight = hash_to_unit_interval(key, self._own_id)
         return all(
-            hash_to_unit_interval(key, entry.id) <= mine for entry in self.live(now)
+            hash_to_unit_interval(key, entry.id) <= own_weight
+            for entry in self.live(now)
         )
 
     def _timeout_s(self) -> float:
--- a/packages/policies/src/sycamorenotch_policies/_membership.py
+++ b/packages/policies/src/sycamorenotch_policies/_membership.py
@@ -93,12 +93,12 @@
 class Membership:
     """Fleet members that one daemon knows, itself excluded.
 
-    :param me: this daemon's identifier.
+    :param own_id: this daemon's identifier.
     :param incarnation: number of this start; later starts have higher ones.
     """
 
-    def __init__(self, me: InstanceId, incarnation: int) -> None:
-        self.me = me
+    def __init__(self, own_id: InstanceId, incarnation: int) -> None:
+        self.own_id = own_id
         self.incarnation = incarnation
         self._members: dict[InstanceId, _Member] = {}
         self._remaining_sends: dict[InstanceId, int] = {}
@@ -113,7 +113,7 @@
 
         :param now: monotonic clock of this daemon.
         """
-        entries = {i.id: i for i in listed if i.id != self.me}
+        entries = {i.id: i for i in listed if i.id != self.own_id}
         for entry in entries.values():
             member = self._members.get(entry.id)
             if member is None:
@@ -150,7 +150,7 @@
         This instance refutes a rumour that it is suspect or gone by raising its
         own incarnation.
         """
-        if rumour.instance == self.me:
+        if rumour.instance == self.own_id:
             self._refute(rumour)
             return ()
         member = self._members.get(rumour.instance)
@@ -224,7 +224,7 @@
 
     def usable(self, instance: InstanceId) -> bool:
         """Return whether an instance may be given work or a role."""
-        if instance == self.me:
+        if instance == self.own_id:
             return True
         member = self._members.get(instance)
         return member is not None and (
@@ -292,9 +292,9 @@
     def _next_in_rotation(self) -> tuple[InstanceId, ...]:
         names = tuple(self._members)
         count = min(REPEATS_PER_HEARTBEAT, len(names))
-        places = range(self._cursor, self._cursor + count)
+        positions = range(self._cursor, self._cursor + count)
         self._cursor = (self._cursor + count) % max(1, len(names))
-        return tuple(names[place % len(names)] for place in places)
+        return tuple(names[position % len(names)] for position in positions)
 
 
 def _precedence(state: MemberState) -> int:
--- a/packages/policies/src/sycamorenotch_policies/_rendezvous.py
+++ b/packages/policies/src/sycamorenotch_policies/_rendezvous.py
@@ -34,25 +34,25 @@
     return highest(f"watch|{data_centre}", instances, WATCHERS_PER_DATA_CENTRE)
 
 
-def successor(me: InstanceId, instances: Iterable[InstanceId]) -> InstanceId | None:
+def successor(own_id: InstanceId, instances: Iterable[InstanceId]) -> InstanceId | None:
     """Return the next instance on the ring of hashed identifiers.
 
     Every instance is the successor of exactly one other, so that each is
     observed whatever the size of the ring.
     """
-    others = {weight("ring", i): i for i in instances if i != me}
+    others = {weight("ring", i): i for i in instances if i != own_id}
     if not others:
         return None
-    place = weight("ring", me)
-    return others[min(others, key=lambda other: (other < place, other))]
+    own_weight = weight("ring", own_id)
+    return others[min(others, key=lambda other: (other < own_weight, other))]
 
 
 def neighbours(
-    me: InstanceId, instances: Iterable[InstanceId], count: int
+    own_id: InstanceId, instances: Iterable[InstanceId], count: int
 ) -> tuple[InstanceId, ...]:
     """Return the fleet-wide heartbeat peers of an instance.
 
     Over all instances these form a fixed random graph.
     """
-    others = (i for i in instances if i != me)
-    return highest(f"contact|{me}", others, count)
+    others = (i for i in instances if i != own_id)
+    return highest(f"contact|{own_id}", others, count)
