--- a/packages/gateway/src/sycamorenotch_gateway/__init__.py
+++ b/packages/gateway/src/sycamorenotch_gateway/__init__.py
@@ -1,9 +1,9 @@
-"""A daemon that forwards callers' requests unchanged."""
+"""Gateway that forwards callers' requests to workers unchanged."""
 
 from __future__ import annotations
 
 from sycamorenotch_gateway._dialect import Dialect
-from sycamorenotch_gateway._dialect import LookupQuestion
+from sycamorenotch_gateway._dialect import LookupQuery
 from sycamorenotch_gateway._gateway import Gateway
 from sycamorenotch_gateway._node import GatewayNode
 from sycamorenotch_gateway._settings import GatewaySettings
@@ -14,6 +14,6 @@
     "Gateway",
     "GatewayNode",
     "GatewaySettings",
-    "LookupQuestion",
+    "LookupQuery",
     "parse_gateway_settings",
 ]
--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -1,4 +1,4 @@
-"""Sends a request to one worker and says what became of it."""
+"""Sends a request to one worker and classifies the result."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from sycamorenotch_gateway._events import IdleConnectionForgotten
 from sycamorenotch_gateway._events import WorkerFailed
 from sycamorenotch_gateway._node import GatewayNode
-from sycamorenotch_gateway._suspicion import Suspicion
+from sycamorenotch_gateway._suspicion import CrashSuspicion
 from sycamorenotch_gateway._workers import Workers
 from sycamorenotch_kernel import ForwardCall
 from sycamorenotch_kernel import ForwardingRoute
@@ -26,39 +26,39 @@
 from sycamorenotch_transport import ExchangeError
 from sycamorenotch_transport import HttpResponse
 
-# Several round trips between regions; a lost packet is sent again only after
-# a second, in which another worker can answer.
-CONNECT_S = 0.5
-# Shortest time between two looks at a worker that may be silent.
-SHORTEST_LOOK_S = 0.05
-# Added to a worker's own deadline so that its answer at the deadline arrives.
-ANSWER_TRAVEL_S = 0.1
+# Several round trips between regions. A lost SYN is retransmitted only after a
+# second, in which another worker can answer.
+CONNECT_TIMEOUT_S = 0.5
+# Minimum delay between two checks for a silent worker.
+MIN_SILENCE_CHECK_S = 0.05
+# Added to the worker's deadline, so that an answer sent at the deadline arrives.
+ANSWER_TRANSIT_S = 0.1
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """What became of one attempt.
+class AttemptOutcome:
+    """Result of one attempt.
 
-    :param reply: the worker's answer, if a whole one arrived.
-    :param ran: what is known about the execution.
-    :param late: whether the time for the attempt ran out.
+    :param reply: the worker's answer, if a complete one arrived.
+    :param ran: whether the worker ran the request.
+    :param timed_out: whether no answer arrived before the deadline.
     """
 
     ran: Ran
     detail: str
     reply: WorkerReply | None = None
-    late: bool = False
+    timed_out: bool = False
 
 
 @final
 class Attempts:
-    """Sends requests to workers and takes note of how those did."""
+    """Sends requests to workers and records the results per worker."""
 
     def __init__(self, node: GatewayNode) -> None:
         self._node = node
         self._workers = node.require(Workers)
-        self._suspicion = node.require(Suspicion)
+        self._suspicion = node.require(CrashSuspicion)
 
     async def send(
         self,
@@ -66,30 +66,30 @@
         route: ForwardingRoute,
         chosen: Chosen,
         deadline: float,
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         """Send a request and wait for the answer or the deadline.
 
-        :param deadline: moment on the monotonic clock.
+        :param deadline: time on the monotonic clock, in seconds.
         """
         view = chosen.view
-        begun = self._node.clock()
-        view.started(begun)
+        started_at = self._node.clock()
+        view.started(started_at)
         try:
             outcome = await self._exchange(call, route, view, deadline)
         finally:
-            view.ended(begun)
+            view.ended(started_at)
         now = self._node.clock()
         reply = outcome.reply
         if reply is not None and reply.load is not None:
             view.observe_load(reply.load, now)
         if reply is not None:
             view.heard_at = now
-            self._suspicion.alive(view.entry.id)
+            self._suspicion.record_alive(view.entry.id)
         if reply is not None and reply.verdict is Verdict.ANSWER:
-            view.succeeded(now - begun)
-            self._suspicion.answered(self._suspicion.sign(call))
+            view.succeeded(now - started_at)
+            self._suspicion.record_success(self._suspicion.signature_of(call))
             return outcome
-        self._note(call, chosen, outcome, now - begun)
+        self._report_failure(call, chosen, outcome, now - started_at)
         return outcome
 
     async def _exchange(
@@ -98,70 +98,77 @@
         route: ForwardingRoute,
         view: WorkerView,
         deadline: float,
-    ) -> Outcome:
-        begun = self._node.clock()
-        exchange = self._begin(call, view, begun, deadline - begun)
-        watch: _SilenceWatch | None = None
+    ) -> AttemptOutcome:
+        started_at = self._node.clock()
+        exchange = self._start_exchange(call, view, started_at, deadline - started_at)
+        silence_timeout: _SilenceTimeout | None = None
         if route.kind.repeatable:
-            watch = _SilenceWatch(self._node, view, exchange)
+            silence_timeout = _SilenceTimeout(self._node, view, exchange)
         try:
             response = await exchange
         except ExchangeError as exc:
-            self._note_idle(view, exc, begun)
-            return self._broken(call, view, exc)
+            self._record_idle_reset(view, exc, started_at)
+            return self._record_exchange_error(call, view, exc)
         except DeferredTimeoutError:
-            return Outcome(Ran.UNKNOWN, "no answer before the deadline", late=True)
+            return AttemptOutcome(
+                Ran.UNKNOWN, "no answer before the deadline", timed_out=True
+            )
         except CancelledError:
-            if watch is None or not watch.fired:
+            if silence_timeout is None or not silence_timeout.expired:
                 raise
-            detail = f"the worker is silent for {view.silence_s():.1f} s"
-            return Outcome(Ran.UNKNOWN, detail)
+            detail = f"the worker has been silent for {view.silence_s():.1f} s"
+            return AttemptOutcome(Ran.UNKNOWN, detail)
         finally:
-            if watch is not None:
-                watch.stop()
-        return _judged(self._node.dialect.decode_reply(response))
+            if silence_timeout is not None:
+                silence_timeout.stop()
+        return _classify(self._node.dialect.decode_reply(response))
 
-    def _begin(
+    def _start_exchange(
         self, call: ForwardCall, view: WorkerView, now: float, remaining_s: float
     ) -> Deferred[HttpResponse]:
         dialect = self._node.dialect
         exchange: Deferred[HttpResponse] = Deferred.fromCoroutine(
             self._workers.pool(view).exchange(
                 dialect.encode_attempt(call, view.entry.id, remaining_s),
-                min(CONNECT_S, remaining_s),
-                lambda response: dialect.belongs(call, response),
-                self._workers.trust(view.entry.service).bound_s(now),
+                min(CONNECT_TIMEOUT_S, remaining_s),
+                lambda response: dialect.matches_request(call, response),
+                self._workers.idle_timeout_estimator(view.entry.service).bound_s(now),
             )
         )
-        return exchange.addTimeout(remaining_s + ANSWER_TRAVEL_S, self._node.reactor)
+        return exchange.addTimeout(remaining_s + ANSWER_TRANSIT_S, self._node.reactor)
 
-    def _note_idle(self, view: WorkerView, error: ExchangeError, begun: float) -> None:
-        """Take note if the worker had forgotten the connection."""
+    def _record_idle_reset(
+        self, view: WorkerView, error: ExchangeError, started_at: float
+    ) -> None:
+        """Record a reset if the worker no longer held the idle connection."""
         now = self._node.clock()
         service = view.entry.service
-        trust = self._workers.trust(service)
-        if error.began or not trust.broke_off(error.idle_s, now - begun, now):
+        estimator = self._workers.idle_timeout_estimator(service)
+        if error.began or not estimator.broke_off(error.idle_s, now - started_at, now):
             return
-        idle_s, trusted_s = round(error.idle_s or 0.0, 3), round(trust.bound_s(now), 3)
+        idle_s, trusted_s = (
+            round(error.idle_s or 0.0, 3),
+            round(estimator.bound_s(now), 3),
+        )
         self._node.sink.emit(
             IdleConnectionForgotten(view.entry.id, service, idle_s, trusted_s)
         )
 
-    def _broken(
+    def _record_exchange_error(
         self, call: ForwardCall, view: WorkerView, error: ExchangeError
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         unreachable = not error.connected
         if unreachable:
-            self._suspicion.crashed(view.entry.id)
+            self._suspicion.record_crash(view.entry.id)
         elif error.sent and not error.began:
-            signature = self._suspicion.sign(call)
-            self._suspicion.lost(signature, call.id, view.entry.id)
-        # An idle connection that ends says nothing about its worker.
+            signature = self._suspicion.signature_of(call)
+            self._suspicion.record_lost_request(signature, call.id, view.entry.id)
+        # A reused idle connection that breaks says nothing about its worker.
         if unreachable or error.began or error.idle_s is None:
             service = view.entry.service
             now = self._node.clock()
             view.failed(
-                now, self._workers.book.cold_s(service), unreachable=unreachable
+                now, self._workers.directory.cold_s(service), unreachable=unreachable
             )
             self._node.sink.emit(
                 WorkerFailed(
@@ -173,15 +180,15 @@
                     unreachable,
                 )
             )
-        return Outcome(Ran.UNKNOWN if error.sent else Ran.NO, str(error))
+        return AttemptOutcome(Ran.UNKNOWN if error.sent else Ran.NO, str(error))
 
-    def _note(
-        self, call: ForwardCall, chosen: Chosen, outcome: Outcome, seconds: float
+    def _report_failure(
+        self, call: ForwardCall, chosen: Chosen, outcome: AttemptOutcome, seconds: float
     ) -> None:
         view = chosen.view
         reply = outcome.reply
         if reply is not None and reply.verdict is Verdict.STRANGER:
-            self._workers.moved(view)
+            self._workers.remove_reassigned(view)
         name = "no answer" if reply is None else reply.verdict.value
         self._node.sink.emit(
             AttemptFailed(
@@ -198,8 +205,8 @@
 
 
 @final
-class _SilenceWatch:
-    """Cancels an exchange whose worker answers nobody any more."""
+class _SilenceTimeout:
+    """Cancels an exchange whose worker no longer answers any request."""
 
     def __init__(
         self, node: GatewayNode, view: WorkerView, exchange: Deferred[HttpResponse]
@@ -207,26 +214,26 @@
         self._node = node
         self._view = view
         self._exchange = exchange
-        self.fired = False
+        self.expired = False
         self._timer: Any = None
-        self._look()
+        self._check()
 
     def stop(self) -> None:
-        """Stop to watch."""
+        """Cancel the pending check."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
-    def _look(self) -> None:
-        left = self._view.silent_at() - self._node.clock()
-        if left <= 0:
-            self.fired = True
+    def _check(self) -> None:
+        remaining_s = self._view.silent_at() - self._node.clock()
+        if remaining_s <= 0:
+            self.expired = True
             self._exchange.cancel()
         else:
-            delay = max(left, SHORTEST_LOOK_S)
-            self._timer = self._node.reactor.callLater(delay, self._look)
+            delay = max(remaining_s, MIN_SILENCE_CHECK_S)
+            self._timer = self._node.reactor.callLater(delay, self._check)
 
 
-def _judged(reply: WorkerReply) -> Outcome:
+def _classify(reply: WorkerReply) -> AttemptOutcome:
     match reply.verdict:
         case Verdict.ANSWER | Verdict.FAULT:
             ran = Ran.YES
@@ -234,4 +241,4 @@
             ran = Ran.NO
         case Verdict.BROKEN:
             ran = Ran.UNKNOWN
-    return Outcome(ran, f"status {reply.status}", reply)
+    return AttemptOutcome(ran, f"status {reply.status}", reply)
--- a/packages/gateway/src/sycamorenotch_gateway/_dialect.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_dialect.py
@@ -1,4 +1,4 @@
-"""The port between callers' and workers' HTTP and the gateway's types."""
+"""Port that translates between HTTP of callers and workers and kernel types."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class LookupQuestion:
-    """A caller's question which instances to use."""
+class LookupQuery:
+    """Look-up of a caller that asks which instances to use."""
 
     region: str
     data_centre: str
 
 
 class Dialect(Protocol):
-    """Encodes and decodes the requests of callers and the answers of workers."""
+    """Encodes and decodes requests of callers and answers of workers."""
 
     def decode_call(self, request: HttpRequest) -> Result[ForwardCall, Refusal]:
         """Decode a caller's request."""
@@ -36,12 +36,13 @@
     ) -> HttpRequest:
         """Encode a request for one worker.
 
-        :param worker: the only worker that may run it.
+        :param worker: identifier of the only worker that may run it.
+        :param remaining_s: time left before the deadline, in seconds.
         """
         ...
 
-    def belongs(self, call: ForwardCall, response: HttpResponse) -> bool:
-        """Whether a worker's answer is one to this request."""
+    def matches_request(self, call: ForwardCall, response: HttpResponse) -> bool:
+        """Whether a worker's answer belongs to this request."""
         ...
 
     def decode_reply(self, response: HttpResponse) -> WorkerReply:
@@ -59,14 +60,17 @@
         """
         ...
 
-    def is_readiness(self, request: HttpRequest) -> bool:
-        """Whether the platform asks if this instance is ready."""
+    def is_readiness_probe(self, request: HttpRequest) -> bool:
+        """Whether a request is the platform's readiness probe."""
         ...
 
-    def decode_lookup(self, request: HttpRequest) -> LookupQuestion | None:
-        """Decode a look-up, or nothing if the request is no look-up."""
+    def decode_lookup(self, request: HttpRequest) -> LookupQuery | None:
+        """Decode a look-up; return ``None`` for any other request."""
         ...
 
     def encode_lookup(self, addresses: tuple[str, ...], ttl_s: float) -> HttpResponse:
-        """Encode the answer to a look-up."""
+        """Encode the answer to a look-up.
+
+        :param ttl_s: time for which the caller may use it, in seconds.
+        """
         ...
--- a/packages/gateway/src/sycamorenotch_gateway/_events.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_events.py
@@ -26,7 +26,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class GatewayStopping(Event):
-    """The gateway is no longer ready and finishes its requests."""
+    """The gateway has begun its shutdown; it is not ready and finishes its requests."""
 
     instance: str
     open_connections: int
@@ -36,7 +36,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class GatewayStopped(Event):
-    """The gateway has finished; requests that were left are counted."""
+    """The gateway has stopped; unfinished requests are counted."""
 
     instance: str
     unfinished: int
@@ -46,7 +46,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class SettingsReloaded(Event):
-    """The settings file was read again and is in force."""
+    """The settings file was read again and applied."""
 
     instance: str
     changed: bool
@@ -56,7 +56,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class SettingsInvalid(Event):
-    """The settings file has mistakes; the settings in force stay."""
+    """The settings file is invalid; the previous settings stay in force."""
 
     problems: str
 
@@ -65,7 +65,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class GatewayTurnFailed(Event):
-    """A background turn raised an exception; the next turn comes as usual."""
+    """A turn of a background task raised an exception; later turns still run."""
 
     turn: str
     error: str
@@ -85,7 +85,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ProcessPaused(Event):
-    """The process did not run for a while, so that what it knew may be old."""
+    """The process was suspended, so its data may be stale."""
 
     seconds: float
 
@@ -94,7 +94,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ConfigurationApplied(Event):
-    """A newer version of the routes, services and limits is in force."""
+    """A newer version of the routes, services and limits was applied."""
 
     version: int
     revision: int
@@ -105,7 +105,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ConfigurationRejected(Event):
-    """The stored configuration cannot be read; the one in force stays."""
+    """The stored configuration is invalid; the one in force stays."""
 
     entry: str
     revision: int
@@ -116,7 +116,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class WorkerChanged(Event):
-    """A worker's entry was read."""
+    """A new or changed entry of a worker was read."""
 
     worker: str
     service: str
@@ -130,7 +130,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class WorkerRemoved(Event):
-    """A worker's entry is gone; it gets no more requests."""
+    """A worker was removed and receives no more requests."""
 
     worker: str
     reason: str
@@ -141,7 +141,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class WorkerEntryIgnored(Event):
-    """An entry of the store names no worker that can be used."""
+    """An entry of the store is invalid and was ignored."""
 
     entry: str
     problem: str
@@ -152,7 +152,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class WorkerFailed(Event):
-    """A worker failed a request and is paused."""
+    """A worker failed a request and receives none during the pause."""
 
     worker: str
     service: str
@@ -166,7 +166,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class EvacuationChanged(Event):
-    """The data centres whose workers get nothing have changed."""
+    """The set of evacuated data centres, whose workers get no requests, has changed."""
 
     data_centres: str
     revision: int
@@ -178,8 +178,8 @@
 class IdleConnectionForgotten(Event):
     """A worker reset a request on a connection that had been idle.
 
-    :param idle_s: how long it had been idle.
-    :param trusted_s: idle time up to which connections to the service are used.
+    :param idle_s: time for which it had been idle, in seconds.
+    :param trusted_s: maximum idle time of reused connections to the service.
     """
 
     worker: str
@@ -192,7 +192,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class StoreLost(Event):
-    """A topic of the store cannot be followed; what is known stays in force."""
+    """A topic of the store cannot be followed; its last state stays in force."""
 
     topic: str
     fault: str
@@ -203,7 +203,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class StoreCallFailed(Event):
-    """A further call failed while a topic of the store is lost."""
+    """Another call failed while a topic of the store cannot be followed."""
 
     topic: str
     fault: str
@@ -225,7 +225,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class StoreHistoryGone(Event):
-    """The store no longer has the changes since a revision; the topic is read."""
+    """The store has discarded changes since a revision; the topic is read again."""
 
     topic: str
     revision: int
@@ -235,7 +235,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class TopicRelayed(Event):
-    """A topic that the store does not serve was read from a peer."""
+    """A topic was read from a peer while the store does not serve it."""
 
     topic: str
     revision: int
@@ -245,7 +245,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class AnnouncementFailed(Event):
-    """This instance's entry could not be written; it is tried again."""
+    """Instance entries could not be written or read; the call is retried."""
 
     detail: str
 
@@ -254,7 +254,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PeerJoined(Event):
-    """Another instance was heard from for the first time, or again."""
+    """Another instance sent its first heartbeat, or the first after a timeout."""
 
     peer: str
     live: int
@@ -264,7 +264,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PeerLost(Event):
-    """Another instance fell silent and leaves the look-up answers."""
+    """Heartbeats of another instance timed out; look-up answers omit it."""
 
     peer: str
     live: int
@@ -274,7 +274,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class DatagramRejected(Event):
-    """A datagram could not be read."""
+    """A datagram could not be read or sent."""
 
     sender: str
     problem: str
@@ -284,7 +284,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class RequestAnswered(Event):
-    """A request was answered with a worker's answer."""
+    """A worker's answer to a request was forwarded."""
 
     request: str
     route: str
@@ -300,7 +300,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class RequestRefused(Event):
-    """A request was answered with an error of the system."""
+    """A request was answered with an error of the system itself."""
 
     request: str
     route: str
@@ -319,7 +319,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class AttemptFailed(Event):
-    """One worker did not answer a request as it should."""
+    """An attempt failed: a worker refused the request, failed or did not answer."""
 
     request: str
     worker: str
@@ -335,7 +335,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class RequestAbandoned(Event):
-    """The caller left; the work for its request was cancelled."""
+    """The caller closed its connection; its request was cancelled."""
 
     request: str
     attempts: int
@@ -346,7 +346,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class RequestQuarantined(Event):
-    """A request has crashed several workers and is held back from now on."""
+    """A request has crashed several workers and is quarantined."""
 
     request: str
     signature: str
@@ -357,6 +357,6 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LogDropped(Event):
-    """Log lines were dropped to keep the volume bounded."""
+    """Log lines were dropped by the rate limit or because the queue was full."""
 
     lines: int
--- a/packages/gateway/src/sycamorenotch_gateway/_follower.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_follower.py
@@ -1,4 +1,4 @@
-"""Follows one topic of the platform's store."""
+"""Follows one topic of the platform's store with reads and watches."""
 
 from __future__ import annotations
 
@@ -19,117 +19,120 @@
 from sycamorenotch_kernel import Item
 from sycamorenotch_kernel import Topic
 
-# First pause after a failed call; it doubles up to the longest, with jitter.
-# The longest keeps a change in force within a second of the store's return.
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 0.8
-NOW = timedelta()
-# Pause before the next watch after a change. Changes come in groups, and each
-# call is priced; the pauses are far below the bounds on drains and configurations.
-PAUSES = {
+# Exponential backoff with jitter after failed calls. The maximum is such that a
+# change is applied within a second of the store's recovery.
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 0.8
+NO_DELAY = timedelta()
+# Delay of the next watch after a change. Changes come in groups and each call is
+# charged. The delays are far below the bounds on drains and configuration changes.
+WATCH_DELAYS = {
     Topic.WORKERS: timedelta(milliseconds=1_000),
     Topic.CONFIGURATION: timedelta(milliseconds=200),
 }
 
-# Receives a batch and whether it is the whole topic.
-Receive = Callable[[Batch, bool], None]
+# Receives a batch, and whether it is a snapshot of the whole topic.
+BatchHandler = Callable[[Batch, bool], None]
 
 
 @final
 class Follower:
-    """Reads a topic once, then waits for its changes.
+    """Reads a topic once, then watches its changes.
 
-    :param receive: takes each batch.
+    :param handle_batch: called with each batch.
     """
 
-    def __init__(self, node: GatewayNode, topic: Topic, receive: Receive) -> None:
+    def __init__(
+        self, node: GatewayNode, topic: Topic, handle_batch: BatchHandler
+    ) -> None:
         self._node = node
         self._topic = topic
-        self._receive = receive
+        self._handle_batch = handle_batch
         self._loop = node.background(self._turn)
         self._revision: int | None = None
-        # Revision up to which the topic is known, from the store or a peer.
-        self._known_to = 0
+        # Newest revision applied, from the store or from a peer.
+        self._known_revision = 0
         self._items: dict[str, Item] = {}
         self._relay = node.require(Relay)
-        self._relay.offer(topic, self._snapshot)
+        self._relay.publish(topic, self._snapshot)
         self._failures = 0
-        self._lost_at: float | None = None
+        self._lost_since: float | None = None
         self.regained_at: float | None = None
         self.complete = False
 
     @property
     def lost(self) -> bool:
-        """Whether the last call failed."""
-        return self._lost_at is not None
+        """Whether the last call to the store failed."""
+        return self._lost_since is not None
 
     def start(self) -> None:
-        """Start to follow."""
+        """Start following the topic."""
         self._loop.start()
 
     def stop(self) -> None:
-        """Stop to follow."""
+        """Stop following the topic; the last items are kept."""
         self._loop.stop()
 
     async def _turn(self) -> timedelta:
         if self._revision is None:
             result = await self._node.feed.read(self._topic, fresh=True)
-            whole = True
+            is_snapshot = True
         else:
             result = await self._node.feed.watch(self._topic, self._revision)
-            whole = False
+            is_snapshot = False
         if result.is_error():
-            pause = self._failed(result.error)
-            if self._lost_at is not None:
-                await self._ask_peer()
-            return pause
-        self._succeeded()
+            backoff = self._record_failure(result.error)
+            if self._lost_since is not None:
+                await self._read_from_peer()
+            return backoff
+        self._record_success()
         self._revision = result.ok.revision
-        self._apply(result.ok, whole)
-        quiet = whole or not result.ok.items
-        return NOW if quiet else PAUSES.get(self._topic, NOW)
+        self._apply(result.ok, is_snapshot)
+        unchanged = is_snapshot or not result.ok.items
+        return NO_DELAY if unchanged else WATCH_DELAYS.get(self._topic, NO_DELAY)
 
-    async def _ask_peer(self) -> None:
-        batch = await self._relay.read(self._topic, self._known_to)
+    async def _read_from_peer(self) -> None:
+        batch = await self._relay.read(self._topic, self._known_revision)
         if batch is not None:
             self._node.sink.emit(TopicRelayed(self._topic.value, batch.revision))
-            self._apply(batch, whole=True)
+            self._apply(batch, is_snapshot=True)
 
-    def _apply(self, batch: Batch, whole: bool) -> None:
-        if whole:
+    def _apply(self, batch: Batch, is_snapshot: bool) -> None:
+        if is_snapshot:
             self._items.clear()
         for item in batch.items:
             if item.removed or item.problem or item.value is None:
                 self._items.pop(item.name, None)
             else:
                 self._items[item.name] = item
-        self._known_to = batch.revision
-        if whole or batch.items:
-            self._receive(batch, whole)
+        self._known_revision = batch.revision
+        if is_snapshot or batch.items:
+            self._handle_batch(batch, is_snapshot)
         self.complete = True
 
     def _snapshot(self) -> Batch | None:
         if not self.complete or self.lost:
             return None
-        return Batch(tuple(self._items.values()), self._known_to)
+        return Batch(tuple(self._items.values()), self._known_revision)
 
-    def _succeeded(self) -> None:
+    def _record_success(self) -> None:
         self._failures = 0
-        if self._lost_at is not None:
+        if self._lost_since is not None:
             now = self._node.clock()
-            outage, self._lost_at = now - self._lost_at, None
+            outage_s, self._lost_since = now - self._lost_since, None
             self.regained_at = now
-            self._node.sink.emit(StoreRegained(self._topic.value, round(outage, 3)))
+            self._node.sink.emit(StoreRegained(self._topic.value, round(outage_s, 3)))
 
-    def _failed(self, error: FeedError) -> timedelta:
+    def _record_failure(self, error: FeedError) -> timedelta:
         if error.fault is FeedFault.HISTORY_GONE:
             revision, self._revision = self._revision, None
             self._node.sink.emit(StoreHistoryGone(self._topic.value, revision or 0))
-            return NOW
-        # A store that lost its history may let a watch from before wait in vain.
+            return NO_DELAY
+        # If the store has lost its history, a watch from the old revision may never
+        # return, so the topic is read again.
         self._revision = None
-        if self._lost_at is None:
-            self._lost_at = self._node.clock()
+        if self._lost_since is None:
+            self._lost_since = self._node.clock()
             self._node.sink.emit(
                 StoreLost(self._topic.value, error.fault.value, error.detail)
             )
@@ -139,6 +142,6 @@
                     self._topic.value, error.fault.value, error.detail, self._failures
                 )
             )
-        pause = min(FIRST_PAUSE_S * 2.0**self._failures, LONGEST_PAUSE_S)
+        backoff = min(INITIAL_BACKOFF_S * 2.0**self._failures, MAX_BACKOFF_S)
         self._failures += 1
-        return timedelta(seconds=pause * self._node.random.uniform(0.5, 1.0))
+        return timedelta(seconds=backoff * self._node.random.uniform(0.5, 1.0))
--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -1,4 +1,4 @@
-"""Takes a request through route, choice of worker, attempts and retries."""
+"""Routes a request, picks its workers, and runs its attempts and retries."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from twisted.internet.defer import CancelledError
 from twisted.internet.task import deferLater
 
+from sycamorenotch_gateway._attempts import AttemptOutcome
 from sycamorenotch_gateway._attempts import Attempts
-from sycamorenotch_gateway._attempts import Outcome
 from sycamorenotch_gateway._events import RequestAbandoned
 from sycamorenotch_gateway._events import RequestAnswered
 from sycamorenotch_gateway._events import RequestRefused
 from sycamorenotch_gateway._node import GatewayNode
 from sycamorenotch_gateway._peers import Peers
 from sycamorenotch_gateway._routes import Routes
-from sycamorenotch_gateway._suspicion import Suspicion
+from sycamorenotch_gateway._suspicion import CrashSuspicion
 from sycamorenotch_gateway._workers import Workers
 from sycamorenotch_kernel import ErrorKind
 from sycamorenotch_kernel import ForwardCall
@@ -41,18 +41,18 @@
 from sycamorenotch_policies import pick_service
 from sycamorenotch_policies import unit_interval
 
-# Patience of a caller that names none on a route without a time limit.
-DEFAULT_PATIENCE_S = 30.0
-# Pause after which a caller may find an instance ready or a worker with room.
+# Applies if neither the caller nor the route sets a timeout.
+DEFAULT_TIMEOUT_S = 30.0
+# Sent to the caller if the instance is not ready or every worker shed the request.
 RETRY_AFTER_S = 0.5
-# An instance that has just started reads its topics within a few round trips;
-# requests of callers that know its address wait for that, at this interval.
-START_WAIT_S = 0.3
-START_LOOK_S = 0.02
-# A caller gets the final answer this long before it stops to wait.
-ANSWER_MARGIN_S = 0.15
-# Least time in which a worker can do anything of use.
-LEAST_REMAINING_S = 0.02
+# An instance that has just started reads its topics within a few round trips.
+# Requests of callers that already know its address wait for that.
+STARTUP_WAIT_S = 0.3
+STARTUP_POLL_INTERVAL_S = 0.02
+# The final answer is sent this long before the caller's own timeout.
+CALLER_DEADLINE_MARGIN_S = 0.15
+# No attempt starts with less time than this left.
+MIN_REMAINING_S = 0.02
 
 ForwardResult = Result[WorkerReply, Refusal]
 
@@ -60,9 +60,13 @@
 @final
 @dataclass(slots=True)
 class _Progress:
-    """What has been done for one request."""
+    """State of one request across its attempts.
 
-    begun: float
+    :param started_at: start on the monotonic clock, in seconds.
+    :param tried: workers that have received an attempt.
+    """
+
+    started_at: float
     route: str = ""
     service: str = ""
     worker: str = ""
@@ -74,7 +78,7 @@
 @gateway_components.register("forwarder")
 @final
 class Forwarder:
-    """Forwards requests to workers."""
+    """Forwards requests to workers, with retries within the retry budget."""
 
     after: ClassVar[tuple[str, ...]] = ("routes", "workers", "peers", "suspicion")
 
@@ -84,37 +88,42 @@
         self._workers = node.require(Workers)
         self._peers = node.require(Peers)
         self._attempts = Attempts(node)
-        self._suspicion = node.require(Suspicion)
-        self._allowance = RetryAllowance(self._terms)
-        book = self._workers.book
+        self._suspicion = node.require(CrashSuspicion)
+        self._retry_budget = RetryAllowance(self._retry_terms)
+        directory = self._workers.directory
         self._choice: WorkerChoice = worker_choices.get("affinity")(
             node.settings.placement.region,
-            book.limits,
-            lambda worker: self._peers.liveness.owns(worker, node.clock()),
+            directory.limits,
+            lambda worker: self._peers.failure_detector.owns(worker, node.clock()),
             node.random,
         )
         node.provide(Forwarder, self)
 
     def start(self) -> None:
-        """Do nothing; front ends bring the requests."""
+        """Do nothing; front ends call :meth:`forward`."""
 
     async def stop(self) -> None:
         """Do nothing; front ends wait for the requests in flight."""
 
     async def forward(self, call: ForwardCall) -> ForwardResult:
-        """Forward one request; a cancellation ends the work for it."""
+        """Forward one request.
+
+        Cancelling the call cancels the attempt in flight.
+        """
         progress = _Progress(self._node.clock())
         try:
-            result = await self._route(call, progress)
+            result = await self._route_request(call, progress)
         except CancelledError:
-            seconds = round(self._node.clock() - progress.begun, 3)
+            seconds = round(self._node.clock() - progress.started_at, 3)
             self._node.sink.emit(RequestAbandoned(call.id, progress.attempts, seconds))
             raise
-        self._record(call, progress, result)
+        self._emit_outcome(call, progress, result)
         return result
 
-    async def _route(self, call: ForwardCall, progress: _Progress) -> ForwardResult:
-        await self._until_known(progress.begun + START_WAIT_S)
+    async def _route_request(
+        self, call: ForwardCall, progress: _Progress
+    ) -> ForwardResult:
+        await self._wait_until_ready(progress.started_at + STARTUP_WAIT_S)
         table = self._routes.table
         if table is None or not self._workers.complete:
             detail = "no configuration is in force"
@@ -124,26 +133,33 @@
             detail = f"no route for {call.host} {call.path}"
             return Error(Refusal(ErrorKind.UNKNOWN_ROUTE, Ran.NO, detail))
         progress.route = route.name
-        held = self._suspicion.refusal(self._suspicion.sign(call))
-        if held is not None:
-            return Error(held)
+        quarantine_refusal = self._suspicion.refusal(self._suspicion.signature_of(call))
+        if quarantine_refusal is not None:
+            return Error(quarantine_refusal)
         progress.service = pick_service(route, unit_interval("split", call.id))
-        patience = DEFAULT_PATIENCE_S if call.patience_s is None else call.patience_s
-        patience = max(LEAST_REMAINING_S, patience - ANSWER_MARGIN_S)
-        bound = patience if route.timeout_s is None else min(patience, route.timeout_s)
-        return await self._try_workers(call, route, progress, progress.begun + bound)
+        timeout_s = DEFAULT_TIMEOUT_S if call.patience_s is None else call.patience_s
+        timeout_s = max(MIN_REMAINING_S, timeout_s - CALLER_DEADLINE_MARGIN_S)
+        limit_s = (
+            timeout_s if route.timeout_s is None else min(timeout_s, route.timeout_s)
+        )
+        return await self._try_workers(
+            call, route, progress, progress.started_at + limit_s
+        )
 
-    def _terms(self) -> RetryTerms:
+    def _retry_terms(self) -> RetryTerms:
         bounds = self._node.settings.bounds
         window_s = bounds.retry_window.total_seconds()
         return RetryTerms(bounds.retry_ratio, window_s, bounds.extra_retries)
 
-    async def _until_known(self, limit: float) -> None:
-        """Wait for the first configuration and workers of a fresh instance."""
+    async def _wait_until_ready(self, limit: float) -> None:
+        """Wait until the first configuration and workers have been read.
+
+        :param limit: latest time to wait for, on the monotonic clock.
+        """
         while self._node.clock() < limit and not (
             self._routes.table is not None and self._workers.complete
         ):
-            await deferLater(self._node.reactor, START_LOOK_S, lambda: None)
+            await deferLater(self._node.reactor, STARTUP_POLL_INTERVAL_S, lambda: None)
 
     async def _try_workers(
         self,
@@ -155,33 +171,37 @@
         result: ForwardResult | None = None
         while True:
             now = self._node.clock()
-            if deadline - now < LEAST_REMAINING_S:
-                late = Refusal(ErrorKind.DEADLINE_PASSED, Ran.NO, "the time ran out")
-                return Error(late) if result is None else result
+            if deadline - now < MIN_REMAINING_S:
+                timed_out = Refusal(
+                    ErrorKind.DEADLINE_PASSED,
+                    Ran.NO,
+                    "the deadline passed before an attempt",
+                )
+                return Error(timed_out) if result is None else result
             wanted = Wanted(
                 route, progress.service, call.object_key, frozenset(progress.tried)
             )
-            views = self._workers.book.usable(progress.service, now)
+            views = self._workers.directory.usable(progress.service, now)
             choice = self._choice.choose(wanted, views, now)
             if isinstance(choice, NoRoom):
                 if result is not None:
                     return result
-                return Error(self._no_room(choice, now, progress.service))
-            if not self._may_send(progress, now) and result is not None:
+                return Error(self._overload_refusal(choice, now, progress.service))
+            if not self._attempt_allowed(progress, now) and result is not None:
                 return result
-            outcome = await self._send(call, route, choice, progress, deadline)
-            result = _result(outcome, progress)
-            if progress.attempts >= route.attempts or not _may_repeat(route, outcome):
+            outcome = await self._send_attempt(call, route, choice, progress, deadline)
+            result = _to_result(outcome, progress)
+            if progress.attempts >= route.attempts or not _may_retry(route, outcome):
                 return result
 
-    async def _send(
+    async def _send_attempt(
         self,
         call: ForwardCall,
         route: ForwardingRoute,
         chosen: Chosen,
         progress: _Progress,
         deadline: float,
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         worker = chosen.view.entry.id
         progress.attempts += 1
         progress.worker = worker
@@ -191,20 +211,20 @@
             progress.ran = outcome.ran
         return outcome
 
-    def _may_send(self, progress: _Progress, now: float) -> bool:
+    def _attempt_allowed(self, progress: _Progress, now: float) -> bool:
         if progress.attempts == 0:
-            self._allowance.requested(progress.service, now)
+            self._retry_budget.requested(progress.service, now)
             return True
-        return self._allowance.take(progress.service, now, self._peers.live_count)
+        return self._retry_budget.take(progress.service, now, self._peers.live_count)
 
-    def _no_room(self, choice: NoRoom, now: float, service: str) -> Refusal:
-        detail = f"{choice.reason} ({self._workers.book.census(service, now)})"
+    def _overload_refusal(self, choice: NoRoom, now: float, service: str) -> Refusal:
+        detail = f"{choice.reason} ({self._workers.directory.census(service, now)})"
         return Refusal(ErrorKind.OVERLOADED, Ran.NO, detail, choice.retry_after_s)
 
-    def _record(
+    def _emit_outcome(
         self, call: ForwardCall, progress: _Progress, result: ForwardResult
     ) -> None:
-        seconds = round(self._node.clock() - progress.begun, 3)
+        seconds = round(self._node.clock() - progress.started_at, 3)
         version = self._routes.version
         if result.is_ok():
             self._node.sink.emit(
@@ -238,19 +258,19 @@
         )
 
 
-def _may_repeat(route: ForwardingRoute, outcome: Outcome) -> bool:
+def _may_retry(route: ForwardingRoute, outcome: AttemptOutcome) -> bool:
     reply = outcome.reply
-    if outcome.late or (reply is not None and reply.verdict is Verdict.ANSWER):
+    if outcome.timed_out or (reply is not None and reply.verdict is Verdict.ANSWER):
         return False
     return outcome.ran is Ran.NO or route.kind.repeatable
 
 
-def _result(outcome: Outcome, progress: _Progress) -> ForwardResult:
-    """A worker's own answers and failures are handed on, the rest is refused."""
+def _to_result(outcome: AttemptOutcome, progress: _Progress) -> ForwardResult:
+    """Forward a worker's own answers and faults; refuse everything else."""
     reply = outcome.reply
     if reply is not None and reply.verdict in (Verdict.ANSWER, Verdict.FAULT):
         return Ok(reply)
-    if outcome.late:
+    if outcome.timed_out:
         kind = ErrorKind.DEADLINE_PASSED
         return Error(Refusal(kind, progress.ran, outcome.detail))
     if progress.ran is Ran.NO:
--- a/packages/gateway/src/sycamorenotch_gateway/_front_end.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_front_end.py
@@ -28,19 +28,21 @@
 from sycamorenotch_transport import HttpRequest
 from sycamorenotch_transport import HttpResponse
 
-# Connections that wait to be accepted while the loop is busy.
-BACKLOG = 512
-# Longest list of instances in one look-up answer.
-LOOKUP_INSTANCES = 64
-# Part of the grace for which callers may use an answer; some use it for three
-# times as long, and all of them must be gone before the listener closes.
-ANSWER_PART = 0.2
-# Parts of the grace: new connections until the first, answers until the second.
-# The rest covers timers that fire late and what is still to be closed.
-ACCEPT_PART = 0.5
-FINISH_PART = 0.86
-
-KINDS = {
+# Bursts of new connections must not be refused while the loop is busy.
+ACCEPT_BACKLOG = 512
+# Bounds the size of a look-up answer.
+MAX_LOOKUP_INSTANCES = 64
+# Time to live of a look-up answer, as a fraction of the grace period. Some callers
+# use an answer for three times as long, and all of them must have left before the
+# listener closes.
+LOOKUP_TTL_FRACTION = 0.2
+# Fractions of the grace period: new connections are accepted until the first, and
+# requests in flight may finish until the second. The rest covers late timers and
+# the closing of connections.
+ACCEPT_FRACTION = 0.5
+FINISH_FRACTION = 0.86
+
+ERROR_KINDS = {
     400: ErrorKind.BAD_REQUEST,
     408: ErrorKind.SLOW_SENDER,
     413: ErrorKind.BODY_TOO_LARGE,
@@ -53,7 +55,7 @@
 @front_ends.register("gateway")
 @final
 class GatewayFrontEnd:
-    """Serves callers and the platform over HTTP."""
+    """Serves callers, readiness probes, look-ups and metrics over HTTP."""
 
     after: ClassVar[tuple[str, ...]] = ("forwarder", "peers", "metrics")
 
@@ -62,105 +64,105 @@
         self._forwarder = node.require(Forwarder)
         self._peers = node.require(Peers)
         self._metrics = node.require(GatewayMetrics)
-        self._callers = self._server("callers", self._call)
-        self._others = {
-            "readiness": self._server("readiness", self._readiness),
-            "lookups": self._server("lookups", self._lookup),
-            "metrics": self._server("metrics", self._page),
+        self._caller_server = self._create_server("callers", self._serve_call)
+        self._internal_servers = {
+            "readiness": self._create_server("readiness", self._serve_readiness),
+            "lookups": self._create_server("lookups", self._serve_lookup),
+            "metrics": self._create_server("metrics", self._serve_metrics),
         }
-        node.require(Routes).subscribe(self._configured)
+        node.require(Routes).subscribe(self._apply_limits)
         node.provide(GatewayFrontEnd, self)
 
     @property
     def addresses(self) -> dict[str, str]:
         """``IP:port`` of each listener by its name."""
-        servers = {"callers": self._callers, **self._others}
+        servers = {"callers": self._caller_server, **self._internal_servers}
         return {name: server.address for name, server in servers.items()}
 
     def start(self) -> None:
-        """Listen."""
+        """Open the listeners."""
         settings = self._node.settings
-        self._callers.listen(settings.callers, BACKLOG)
-        for name, server in self._others.items():
-            server.listen(getattr(settings, name), BACKLOG)
+        self._caller_server.listen(settings.callers, ACCEPT_BACKLOG)
+        for name, server in self._internal_servers.items():
+            server.listen(getattr(settings, name), ACCEPT_BACKLOG)
 
     async def stop(self) -> None:
-        """Serve until callers have gone elsewhere, then finish and close."""
+        """Drain: serve until callers have left, finish requests, and close."""
         node = self._node
-        connections = len(self._callers.connections)
+        connections = len(self._caller_server.connections)
         node.sink.emit(GatewayStopping(node.settings.instance, connections))
-        self._callers.draining = True
-        self._peers.tell_now()
-        grace = node.settings.bounds.grace.total_seconds()
-        await deferLater(node.reactor, grace * ACCEPT_PART, lambda: None)
-        left = grace * (FINISH_PART - ACCEPT_PART)
-        unfinished = await self._callers.stop(left)
-        for server in self._others.values():
+        self._caller_server.draining = True
+        self._peers.broadcast_heartbeat()
+        grace_s = node.settings.bounds.grace.total_seconds()
+        await deferLater(node.reactor, grace_s * ACCEPT_FRACTION, lambda: None)
+        remaining_s = grace_s * (FINISH_FRACTION - ACCEPT_FRACTION)
+        unfinished = await self._caller_server.stop(remaining_s)
+        for server in self._internal_servers.values():
             await server.stop(0)
         node.sink.emit(GatewayStopped(node.settings.instance, unfinished))
 
-    def _server(self, name: str, handler: Handler) -> Http1Server:
+    def _create_server(self, name: str, handler: Handler) -> Http1Server:
         return Http1Server(
             self._node.reactor,
             handler,
-            self._complain,
+            self._encode_error,
             lambda detail: self._node.sink.emit(RequestRejected(name, detail)),
         )
 
-    def _configured(self, configuration: ForwardingConfiguration) -> None:
+    def _apply_limits(self, configuration: ForwardingConfiguration) -> None:
         limits = configuration.limits
-        self._callers.bounds = HttpBounds(
+        self._caller_server.bounds = HttpBounds(
             limits.header_bytes,
             limits.body_bytes,
             limits.header_timeout_s,
             limits.idle_timeout_s,
         )
 
-    def _complain(self, status: int, detail: str) -> HttpResponse:
-        kind = KINDS.get(status, ErrorKind.BAD_REQUEST)
+    def _encode_error(self, status: int, detail: str) -> HttpResponse:
+        kind = ERROR_KINDS.get(status, ErrorKind.BAD_REQUEST)
         if status == 500:
             refusal = Refusal(ErrorKind.INTERNAL, Ran.UNKNOWN, detail)
         else:
             refusal = Refusal(kind, Ran.NO, detail)
         return self._node.dialect.encode_refusal("", refusal)
 
-    async def _call(self, request: HttpRequest) -> HttpResponse:
+    async def _serve_call(self, request: HttpRequest) -> HttpResponse:
         dialect = self._node.dialect
         call = dialect.decode_call(request)
         if call.is_error():
             return dialect.encode_refusal("", call.error)
-        begun = self._node.clock()
+        started_at = self._node.clock()
         result = await self._forwarder.forward(call.ok)
-        self._metrics.count(result, self._node.clock() - begun)
+        self._metrics.count(result, self._node.clock() - started_at)
         if result.is_error():
             return dialect.encode_refusal(call.ok.id, result.error)
         response = dialect.encode_reply(result.ok)
         self._peers.usage.carried(len(request.body) + len(response.body))
         return response
 
-    async def _readiness(self, request: HttpRequest) -> HttpResponse:
-        if not self._node.dialect.is_readiness(request):
+    async def _serve_readiness(self, request: HttpRequest) -> HttpResponse:
+        if not self._node.dialect.is_readiness_probe(request):
             return HttpResponse(404)
         return HttpResponse(200 if self._peers.ready else 503)
 
-    async def _lookup(self, request: HttpRequest) -> HttpResponse:
-        question = self._node.dialect.decode_lookup(request)
-        if question is None:
+    async def _serve_lookup(self, request: HttpRequest) -> HttpResponse:
+        query = self._node.dialect.decode_lookup(request)
+        if query is None:
             return HttpResponse(404)
         bounds = self._node.settings.bounds
         found = lookup_answer(
             self._peers.serving(),
-            question.region,
-            question.data_centre,
-            LOOKUP_INSTANCES,
+            query.region,
+            query.data_centre,
+            MAX_LOOKUP_INSTANCES,
         )
         if not found:
             return HttpResponse(503)
-        lifetime = bounds.answer_lifetime.total_seconds()
-        ttl_s = min(lifetime, bounds.grace.total_seconds() * ANSWER_PART)
+        lifetime_s = bounds.answer_lifetime.total_seconds()
+        ttl_s = min(lifetime_s, bounds.grace.total_seconds() * LOOKUP_TTL_FRACTION)
         addresses = tuple(entry.callers for entry in found)
         return self._node.dialect.encode_lookup(addresses, ttl_s)
 
-    async def _page(self, request: HttpRequest) -> HttpResponse:
+    async def _serve_metrics(self, request: HttpRequest) -> HttpResponse:
         body, content_type = self._metrics.render()
         return HttpResponse(200, (("Content-Type", content_type),), body)
--- a/packages/gateway/src/sycamorenotch_gateway/_gateway.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""Builds, starts and stops the components of one gateway."""
+"""Builds, starts and stops the components of a gateway."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @final
 class Gateway:
-    """One instance of the system that forwards requests.
+    """One instance, which forwards requests of callers to workers.
 
     :param node: the context that the components share.
     """
@@ -28,11 +28,11 @@
 
     @property
     def addresses(self) -> dict[str, str]:
-        """``IP:port`` of each listener by its name, once it has started."""
+        """``IP:port`` of each listener by its name, after :meth:`start`."""
         return self.node.require(GatewayFrontEnd).addresses
 
     def start(self) -> None:
-        """Start every component in order."""
+        """Start the components in the order of their dependencies."""
         for component in self._components:
             component.start()
         settings = self.node.settings
@@ -44,7 +44,10 @@
         )
 
     async def stop(self, *_: Any) -> None:
-        """Leave the look-up answers, finish what is in flight, and stop."""
+        """Drain this instance, finish requests in flight, and stop.
+
+        Further calls return at once.
+        """
         if self.node.stopping:
             return
         self.node.stopping_since = self.node.clock()
--- /dev/null
+++ b/packages/gateway/src/sycamorenotch_gateway/_heartbeats.py
@@ -0,0 +1,220 @@
+"""Codec of the heartbeat datagrams between instances."""
+
+from __future__ import annotations
+
+import dataclasses
+from collections import OrderedDict
+from datetime import timedelta
+from typing import Any
+from typing import final
+
+import msgpack
+from pydantic import BaseModel
+from pydantic import ConfigDict
+from pydantic import Field
+
+from sycamorenotch_kernel import PeerEntry
+from sycamorenotch_kernel import Resources
+from sycamorenotch_policies import Beat
+from sycamorenotch_policies import Signature
+from sycamorenotch_policies import Strike
+
+# One heartbeat in this many describes the instance in full; compact ones refer to
+# it. The first ones after a start are full, as no peer knows the instance yet.
+FULL_HEARTBEAT_EVERY = 8
+FULL_HEARTBEATS_AT_START = 4
+# Bound on instances whose full heartbeat is kept; the oldest are discarded.
+MAX_KNOWN_INSTANCES = 4_096
+MILLI_PER_UNIT = 1_000
+
+
+class StrikeMessage(BaseModel):
+    """The wire form of a strike.
+
+    :param age_ms: time since it was recorded, in milliseconds.
+    """
+
+    model_config = ConfigDict(extra="ignore", frozen=True)
+
+    signature: str
+    worker: str
+    origin: str
+    sequence: int
+    age_ms: int
+
+
+class HeartbeatMessage(BaseModel):
+    """The wire form of a heartbeat that describes its instance in full.
+
+    :param processors: capacity in cores; ``used_processors`` are in use.
+    :param link_mbps: capacity in Mbit/s; ``used_link_mbps`` are in use.
+    """
+
+    model_config = ConfigDict(extra="ignore", frozen=True)
+
+    id: str
+    region: str
+    data_centre: str
+    callers: str
+    gossip: str
+    started: int
+    sequence: int
+    leaving: bool
+    ready: bool
+    processors: float
+    link_mbps: float
+    used_processors: float
+    used_link_mbps: float
+    strikes: tuple[StrikeMessage, ...] = ()
+
+
+def _wire_name(name: str) -> Any:
+    return Field(validation_alias=name, serialization_alias=name)
+
+
+class CompactHeartbeatMessage(BaseModel):
+    """The wire form of a heartbeat that refers to an earlier full one.
+
+    Names are short, as every instance sends several a second to every other.
+
+    :param millicores: thousandths of a core in use.
+    :param kilobits: bandwidth in use, in kbit/s.
+    """
+
+    model_config = ConfigDict(extra="ignore", frozen=True, populate_by_name=True)
+
+    id: str = _wire_name("i")
+    started: int = _wire_name("b")
+    sequence: int = _wire_name("n")
+    ready: bool = _wire_name("r")
+    millicores: int = _wire_name("c")
+    kilobits: int = _wire_name("k")
+
+
+@final
+class HeartbeatCodec:
+    """Encodes this instance's heartbeats and decodes those of its peers."""
+
+    def __init__(self) -> None:
+        # By identifier and start time. Start times do not order restarts, as the
+        # wall clock may step back.
+        self._known: OrderedDict[tuple[str, int], Beat] = OrderedDict()
+
+    def encode(
+        self, heartbeat: Beat, strikes: tuple[Strike, ...], *, full: bool = False
+    ) -> bytes:
+        """Return the datagram of a heartbeat.
+
+        :param full: whether it must describe the instance in full.
+        """
+        regular = (
+            heartbeat.sequence > FULL_HEARTBEATS_AT_START
+            and heartbeat.sequence % FULL_HEARTBEAT_EVERY
+        )
+        if full or strikes or heartbeat.entry.leaving or not regular:
+            message: BaseModel = _full_message(heartbeat, strikes)
+        else:
+            message = CompactHeartbeatMessage(
+                id=heartbeat.entry.id,
+                started=heartbeat.entry.started,
+                sequence=heartbeat.sequence,
+                ready=heartbeat.ready,
+                millicores=round(heartbeat.uses.processors * MILLI_PER_UNIT),
+                kilobits=round(heartbeat.uses.link_mbps * MILLI_PER_UNIT),
+            )
+        packed: bytes = msgpack.packb(message.model_dump(by_alias=True))
+        return packed
+
+    def decode(self, datagram: bytes) -> tuple[Beat | None, tuple[Strike, ...]]:
+        """Return the heartbeat and the strikes of a datagram.
+
+        The heartbeat is ``None`` if it is compact and no full one came before.
+
+        :raises ValueError: if the datagram cannot be read.
+        """
+        try:
+            found = msgpack.unpackb(datagram)
+        except msgpack.UnpackException as exc:
+            raise ValueError(type(exc).__name__) from exc
+        if isinstance(found, dict) and "i" in found:
+            return self._expand(CompactHeartbeatMessage.model_validate(found)), ()
+        message = HeartbeatMessage.model_validate(found)
+        heartbeat = _to_heartbeat(message)
+        self._remember(heartbeat)
+        return heartbeat, tuple(map(_to_strike, message.strikes))
+
+    def _expand(self, message: CompactHeartbeatMessage) -> Beat | None:
+        known = self._known.get((message.id, message.started))
+        if known is None:
+            return None
+        uses = Resources(
+            message.millicores / MILLI_PER_UNIT, message.kilobits / MILLI_PER_UNIT
+        )
+        return dataclasses.replace(
+            known, sequence=message.sequence, ready=message.ready, uses=uses
+        )
+
+    def _remember(self, heartbeat: Beat) -> None:
+        key = (heartbeat.entry.id, heartbeat.entry.started)
+        self._known[key] = heartbeat
+        self._known.move_to_end(key)
+        if len(self._known) > MAX_KNOWN_INSTANCES:
+            self._known.popitem(last=False)
+
+
+def _full_message(heartbeat: Beat, strikes: tuple[Strike, ...]) -> HeartbeatMessage:
+    entry = heartbeat.entry
+    return HeartbeatMessage(
+        id=entry.id,
+        region=entry.region,
+        data_centre=entry.data_centre,
+        callers=entry.callers,
+        gossip=entry.gossip,
+        started=entry.started,
+        sequence=heartbeat.sequence,
+        leaving=entry.leaving,
+        ready=heartbeat.ready,
+        processors=heartbeat.has.processors,
+        link_mbps=heartbeat.has.link_mbps,
+        used_processors=heartbeat.uses.processors,
+        used_link_mbps=heartbeat.uses.link_mbps,
+        strikes=tuple(map(_strike_message, strikes)),
+    )
+
+
+def _to_heartbeat(message: HeartbeatMessage) -> Beat:
+    return Beat(
+        PeerEntry(
+            message.id,
+            message.region,
+            message.data_centre,
+            message.callers,
+            message.gossip,
+            message.started,
+            message.leaving,
+        ),
+        message.sequence,
+        message.ready,
+        Resources(message.processors, message.link_mbps),
+        Resources(message.used_processors, message.used_link_mbps),
+    )
+
+
+def _to_strike(message: StrikeMessage) -> Strike:
+    return Strike(
+        Signature(message.signature),
+        message.worker,
+        message.origin,
+        message.sequence,
+        timedelta(milliseconds=max(0, message.age_ms)),
+    )
+
+
+def _strike_message(strike: Strike) -> StrikeMessage:
+    return StrikeMessage(
+        signature=strike.signature,
+        worker=strike.worker,
+        origin=strike.origin,
+        sequence=strike.sequence,
+        age_ms=round(strike.age / timedelta(milliseconds=1)),
+    )
--- a/packages/gateway/src/sycamorenotch_gateway/_log.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_log.py
@@ -1,4 +1,4 @@
-"""Writes events to standard output, bounded and without blocking."""
+"""Writes events to a file descriptor, rate limited and without blocking."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from sycamorenotch_gateway._events import LogDropped
 from sycamorenotch_kernel import Event
 
-# Lines of one event number in one second; a burst of one kind does not hide
-# the others.
-LINES_PER_SECOND = 200
-# Bytes that wait for a reader of the log.
-WAITING_BYTES = 1_048_576
-FLUSH_S = 0.1
+# The limit applies per event number, so that a burst of one kind of event does not
+# suppress the others.
+MAX_LINES_PER_SECOND = 200
+# Bounds the memory if the log is not read.
+MAX_QUEUED_BYTES = 1_048_576
+FLUSH_INTERVAL_S = 0.1
 
 
 @final
 class LogWriter:
-    """Queues lines and writes what the descriptor takes.
+    """Queues lines and writes them while the descriptor accepts data.
 
-    :param descriptor: file descriptor of the log; set to not block.
-    :param instance: name that each line bears, so that logs can be joined.
+    :param descriptor: file descriptor of the log; it is made non-blocking.
+    :param instance: name added to each line, so that logs can be merged.
     """
 
     def __init__(
@@ -38,18 +38,18 @@
         self._reactor = reactor
         self._descriptor = descriptor
         self._clock = clock
-        self._waiting: deque[bytes] = deque()
-        self._size = 0
+        self._queue: deque[bytes] = deque()
+        self._queued_bytes = 0
         self._second = -1
-        self._lines: dict[int, int] = {}
+        self._lines_this_second: dict[int, int] = {}
         self._timer: Any = None
         self.dropped = 0
         os.set_blocking(descriptor, False)
-        add_destinations(self._take)
+        add_destinations(self._enqueue)
 
     def emit(self, event: Event) -> None:
-        """Write one event, or count it as dropped."""
-        if not self._admit(event.number):
+        """Queue one event, or count it as dropped if a limit is reached."""
+        if not self._within_limits(event.number):
             self.dropped += 1
             return
         if self.dropped and event.number != LogDropped.number:
@@ -66,42 +66,42 @@
         )
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
+        """Write as much of the queue as the descriptor accepts now."""
         self._timer = None
-        while self._waiting:
-            data = b"".join(self._waiting)
-            self._waiting.clear()
-            self._size = 0
+        while self._queue:
+            data = b"".join(self._queue)
+            self._queue.clear()
+            self._queued_bytes = 0
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
                 written = 0
             except OSError:
-                # Nobody can read the log any more; there is nobody to tell.
+                # The reader has closed the pipe, so the error cannot be logged either.
                 return
             if written < len(data):
-                self._waiting.append(data[written:])
-                self._size = len(data) - written
-                self._arm()
+                self._queue.append(data[written:])
+                self._queued_bytes = len(data) - written
+                self._schedule_flush()
                 return
 
-    def _admit(self, number: int) -> bool:
+    def _within_limits(self, number: int) -> bool:
         second = int(self._clock())
         if second != self._second:
             self._second = second
-            self._lines.clear()
-        count = self._lines.get(number, 0) + 1
-        self._lines[number] = count
-        return count <= LINES_PER_SECOND and self._size < WAITING_BYTES
+            self._lines_this_second.clear()
+        count = self._lines_this_second.get(number, 0) + 1
+        self._lines_this_second[number] = count
+        return count <= MAX_LINES_PER_SECOND and self._queued_bytes < MAX_QUEUED_BYTES
 
-    def _take(self, message: dict[str, Any]) -> None:
+    def _enqueue(self, message: dict[str, Any]) -> None:
         message.pop("task_uuid", None)
         message.pop("task_level", None)
         line = orjson.dumps(message, default=str) + b"\n"
-        self._waiting.append(line)
-        self._size += len(line)
-        self._arm()
+        self._queue.append(line)
+        self._queued_bytes += len(line)
+        self._schedule_flush()
 
-    def _arm(self) -> None:
+    def _schedule_flush(self) -> None:
         if self._timer is None:
-            self._timer = self._reactor.callLater(FLUSH_S, self.flush)
+            self._timer = self._reactor.callLater(FLUSH_INTERVAL_S, self.flush)
--- a/packages/gateway/src/sycamorenotch_gateway/_metrics.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of one gateway."""
+"""Metrics of a gateway in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 @gateway_components.register("metrics")
 @final
 class GatewayMetrics:
-    """The metrics page."""
+    """Collects the metrics and renders the metrics page."""
 
     after: ClassVar[tuple[str, ...]] = ("peers", "routes", "workers")
 
@@ -37,27 +37,27 @@
         self._routes = node.require(Routes)
         self._workers = node.require(Workers)
         self._registry = Registry()
-        own: dict[str, Any] = {"registry": self._registry}
+        options: dict[str, Any] = {"registry": self._registry}
         self._requests = Counter(
             "sycamorenotch_gateway_requests_total",
             "Requests by status and, if the system refused, the error kind.",
-            **own,
+            **options,
         )
         self._latency = Histogram(
             "sycamorenotch_gateway_request_seconds",
             "Time from a request's last byte in to its answer.",
             buckets=BUCKETS_S,
-            **own,
+            **options,
         )
-        self._gauges = Gauge(
+        self._state = Gauge(
             "sycamorenotch_gateway_state",
             "Configuration version, known workers and live instances.",
-            **own,
+            **options,
         )
-        self._use = Gauge(
+        self._usage = Gauge(
             "sycamorenotch_gateway_use",
             "Cores and megabits a second in use, as other instances are told.",
-            **own,
+            **options,
         )
         node.provide(GatewayMetrics, self)
 
@@ -68,7 +68,7 @@
         """Do nothing."""
 
     def count(self, result: Result[WorkerReply, Refusal], seconds: float) -> None:
-        """Count one finished request."""
+        """Count one finished request and observe its latency in seconds."""
         if result.is_ok():
             labels = {"status": str(result.ok.status), "kind": ""}
         else:
@@ -79,11 +79,11 @@
 
     def render(self) -> tuple[bytes, str]:
         """Return the page and its content type."""
-        self._gauges.set({"of": "configuration"}, self._routes.version)
-        self._gauges.set({"of": "workers"}, len(self._workers.book))
-        self._gauges.set({"of": "instances"}, self._peers.live_count)
-        uses = self._peers.uses
-        self._use.set({"of": "processors"}, round(uses.processors, 4))
-        self._use.set({"of": "link_mbps"}, round(uses.link_mbps, 3))
+        self._state.set({"of": "configuration"}, self._routes.version)
+        self._state.set({"of": "workers"}, len(self._workers.directory))
+        self._state.set({"of": "instances"}, self._peers.live_count)
+        used_resources = self._peers.used_resources
+        self._usage.set({"of": "processors"}, round(used_resources.processors, 4))
+        self._usage.set({"of": "link_mbps"}, round(used_resources.link_mbps, 3))
         body, _ = render(self._registry, [TEXT_FORMAT])
         return body, TEXT_FORMAT
--- a/packages/gateway/src/sycamorenotch_gateway/_node.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_node.py
@@ -1,4 +1,4 @@
-"""The context that the components of one gateway share."""
+"""Context shared by the components of one gateway."""
 
 from __future__ import annotations
 
@@ -25,33 +25,33 @@
 
 
 class GatewayComponent(Protocol):
-    """A part of the gateway.
+    """A component of the gateway.
 
-    Components are built and started after those that they name in ``after``
-    and are stopped in the opposite order.
+    Components are built and started after those named in ``after``, and stopped
+    in reverse order.
     """
 
     after: ClassVar[tuple[str, ...]]
 
     def start(self) -> None:
-        """Start; must not wait."""
+        """Start without waiting."""
         ...
 
     async def stop(self) -> None:
-        """Stop; nothing of the component runs when this returns."""
+        """Stop; no task of the component runs after this returns."""
         ...
 
 
 @final
 @dataclass(slots=True)
 class GatewayNode:
-    """Everything that components of one gateway share.
+    """Settings, ports and services shared by the components.
 
-    :param reactor: the one loop of the process.
-    :param clock: seconds on the monotonic clock.
-    :param processor_clock: processor time of the process in seconds.
-    :param started: wall clock milliseconds of the start.
-    :param stopping_since: moment of the order to stop, if it came.
+    :param reactor: the event loop of the process.
+    :param clock: returns the monotonic time in seconds.
+    :param started: start on the wall clock, in Unix milliseconds.
+    :param processor_clock: returns the processor time of the process in seconds.
+    :param stopping_since: start of the shutdown on ``clock``, or ``None``.
     """
 
     settings: GatewaySettings
@@ -68,25 +68,25 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether the order to stop has come."""
+        """Whether the shutdown has begun."""
         return self.stopping_since is not None
 
     def background(self, turn: Turn) -> Background:
-        """Return a sequence of turns that reports failures to the log."""
-        return Background(self.reactor, turn, self._turn_failed)
+        """Return a background task that logs the failures of its turns."""
+        return Background(self.reactor, turn, self._report_turn_failure)
 
     def provide(self, kind: type[T], value: T) -> None:
-        """Offer a component's service to other components."""
+        """Register a service for the components that are built later."""
         self._provided[kind] = value
 
     def require(self, kind: type[T]) -> T:
         """Return the service of a component that has been built.
 
-        :raises LookupError: if no component provides it.
+        :raises LookupError: if no built component provides it.
         """
         if kind not in self._provided:
             raise LookupError(f"no component provides {kind.__name__}")
         return cast(T, self._provided[kind])
 
-    def _turn_failed(self, turn: str, error: str) -> None:
+    def _report_turn_failure(self, turn: str, error: str) -> None:
         self.sink.emit(GatewayTurnFailed(turn, error))
--- a/packages/gateway/src/sycamorenotch_gateway/_peers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_peers.py
@@ -1,4 +1,4 @@
-"""Which other instances live: entries in the store and datagrams."""
+"""Membership of the instances, from entries in the store and from heartbeats."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from sycamorenotch_gateway._beats import BeatCodec
 from sycamorenotch_gateway._events import AnnouncementFailed
 from sycamorenotch_gateway._events import DatagramRejected
 from sycamorenotch_gateway._events import PeerJoined
 from sycamorenotch_gateway._events import PeerLost
+from sycamorenotch_gateway._heartbeats import HeartbeatCodec
 from sycamorenotch_gateway._node import GatewayNode
 from sycamorenotch_gateway._relay import Relay
 from sycamorenotch_gateway._routes import Routes
-from sycamorenotch_gateway._suspicion import Suspicion
+from sycamorenotch_gateway._suspicion import CrashSuspicion
 from sycamorenotch_gateway._workers import Workers
 from sycamorenotch_kernel import PeerEntry
 from sycamorenotch_kernel import Resources
@@ -28,19 +28,19 @@
 from sycamorenotch_policies import UsageMeter
 from sycamorenotch_policies import beat_interval_s
 
-# Largest datagram that is read; a beat is far smaller.
-DATAGRAM_BYTES = 2_048
-# Instances that were added are known by their datagrams; entries are read again
-# for those whose first datagrams were all lost.
-READ_AGAIN = timedelta(seconds=15)
-FIRST_PAUSE_S = 0.2
-LONGEST_PAUSE_S = 3.0
+# Largest datagram that is read; a heartbeat is far smaller.
+MAX_DATAGRAM_BYTES = 2_048
+# New instances are found by their heartbeats. The entries are read again to find
+# those whose first heartbeats were all lost.
+ENTRIES_REREAD_INTERVAL = timedelta(seconds=15)
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 3.0
 
 
 @gateway_components.register("peers")
 @final
 class Peers(DatagramProtocol):
-    """Announces this instance and listens for the others."""
+    """Announces this instance and exchanges heartbeats with the others."""
 
     after: ClassVar[tuple[str, ...]] = ("relay", "routes", "workers", "suspicion")
     noisy = False
@@ -48,35 +48,37 @@
     def __init__(self, node: GatewayNode) -> None:
         self._node = node
         settings = node.settings
-        self.liveness = Liveness(settings.instance)
+        self.failure_detector = Liveness(settings.instance)
         self._sequence = 0
-        self._codec = BeatCodec()
-        self._beats = node.background(self._beat)
+        self._codec = HeartbeatCodec()
+        self._heartbeats = node.background(self._heartbeat_turn)
         self._entries = node.background(self._read_entries)
         self._failures = 0
         self._announced = False
-        self._read_once = False
+        self._entries_read = False
         self._port: Any = None
         self._routes = node.require(Routes)
         self._workers = node.require(Workers)
-        self._suspicion = node.require(Suspicion)
+        self._suspicion = node.require(CrashSuspicion)
         self._relay = node.require(Relay)
         self._relay.peers = lambda: tuple(
-            beat.entry for beat in self.liveness.serving(node.clock())
+            heartbeat.entry for heartbeat in self.failure_detector.serving(node.clock())
         )
         self.usage = UsageMeter(node.clock(), node.processor_clock())
         node.provide(Peers, self)
 
     def start(self) -> None:
-        """Announce this instance, then tell peers and listen to them."""
+        """Announce this instance, and start to send and receive heartbeats."""
         host, _, port = self._relay.address.rpartition(":")
-        self._port = self._node.reactor.listenUDP(int(port), self, host, DATAGRAM_BYTES)
-        self._beats.start()
+        self._port = self._node.reactor.listenUDP(
+            int(port), self, host, MAX_DATAGRAM_BYTES
+        )
+        self._heartbeats.start()
         self._entries.start()
 
     async def stop(self) -> None:
-        """Stop to tell peers."""
-        self._beats.stop()
+        """Stop the heartbeats and close the socket."""
+        self._heartbeats.stop()
         self._entries.stop()
         if self._port is not None:
             await self._port.stopListening()
@@ -103,57 +105,57 @@
 
     @property
     def live_count(self) -> int:
-        """Live instances, this one included."""
-        return 1 + len(self.liveness.live(self._node.clock()))
+        """Number of live instances, this one included."""
+        return 1 + len(self.failure_detector.live(self._node.clock()))
 
     def serving(self) -> tuple[Beat, ...]:
-        """Return the beats of instances that take requests, this one included."""
-        others = self.liveness.serving(self._node.clock())
-        return (*others, self._own_beat()) if self.ready else others
+        """Return the heartbeats of instances that take requests, this one included."""
+        others = self.failure_detector.serving(self._node.clock())
+        return (*others, self._own_heartbeat()) if self.ready else others
 
     @property
-    def uses(self) -> Resources:
-        """What this instance used of its machine lately."""
+    def used_resources(self) -> Resources:
+        """Processors and bandwidth in use, over the window of the usage meter."""
         return self.usage.read(self._node.clock(), self._node.processor_clock())
 
-    def _own_beat(self) -> Beat:
+    def _own_heartbeat(self) -> Beat:
         has = self._node.settings.resources
-        return Beat(self.entry, self._sequence, self.ready, has, self.uses)
+        return Beat(self.entry, self._sequence, self.ready, has, self.used_resources)
 
-    def tell_now(self) -> None:
-        """Tell every peer at once, after a change of this instance's state."""
-        self._send_beats(whole=True)
+    def broadcast_heartbeat(self) -> None:
+        """Send every peer a full heartbeat now, after a change of this instance."""
+        self._send_heartbeats(full=True)
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        """Take a peer's beat."""
+        """Record a peer's heartbeat and merge its strikes."""
         try:
-            beat, strikes = self._codec.decode(datagram)
+            heartbeat, strikes = self._codec.decode(datagram)
         except ValueError as exc:
             problem = type(exc).__name__
             self._node.sink.emit(DatagramRejected(str(addr[0]), problem))
             return
         self._suspicion.merge(strikes)
-        if beat is None:
+        if heartbeat is None:
             return
-        if self.liveness.hear(beat, self._node.clock()):
-            self._node.sink.emit(PeerJoined(beat.entry.id, self.live_count))
-            self._send(self._message(whole=True), beat.entry)
+        if self.failure_detector.hear(heartbeat, self._node.clock()):
+            self._node.sink.emit(PeerJoined(heartbeat.entry.id, self.live_count))
+            self._send(self._message(full=True), heartbeat.entry)
 
-    async def _beat(self) -> timedelta:
-        self._send_beats()
-        for name in self.liveness.lost(self._node.clock()):
+    async def _heartbeat_turn(self) -> timedelta:
+        self._send_heartbeats()
+        for name in self.failure_detector.lost(self._node.clock()):
             self._node.sink.emit(PeerLost(name, self.live_count))
-        return timedelta(seconds=beat_interval_s(len(self.liveness.contacts())))
+        return timedelta(seconds=beat_interval_s(len(self.failure_detector.contacts())))
 
-    def _send_beats(self, *, whole: bool = False) -> None:
-        message = self._message(whole=whole)
-        for entry in self.liveness.contacts():
+    def _send_heartbeats(self, *, full: bool = False) -> None:
+        message = self._message(full=full)
+        for entry in self.failure_detector.contacts():
             self._send(message, entry)
 
-    def _message(self, *, whole: bool = False) -> bytes:
+    def _message(self, *, full: bool = False) -> bytes:
         self._sequence += 1
         strikes = self._suspicion.strikes()
-        return self._codec.encode(self._own_beat(), strikes, whole=whole)
+        return self._codec.encode(self._own_heartbeat(), strikes, full=full)
 
     def _send(self, message: bytes, entry: PeerEntry) -> None:
         host, _, port = entry.gossip.rpartition(":")
@@ -166,22 +168,23 @@
         if not self._announced:
             written = await self._node.feed.announce(self.entry)
             if written.is_error():
-                return self._pause(written.error.detail)
+                return self._back_off(written.error.detail)
             self._announced = True
-        # Two instances that start together must see at least one of each other.
-        fresh, self._read_once = not self._read_once, True
+        # Of two instances that start together, at least one must see the other's entry.
+        # A stale read could hide both.
+        fresh, self._entries_read = not self._entries_read, True
         found = await self._node.feed.read(Topic.INSTANCES, fresh=fresh)
         if found.is_error():
-            return self._pause(found.error.detail)
+            return self._back_off(found.error.detail)
         self._failures = 0
-        self.liveness.know(
+        self.failure_detector.know(
             item.value for item in found.ok.items if item.value is not None
         )
-        self._send_beats(whole=True)
-        return READ_AGAIN
+        self._send_heartbeats(full=True)
+        return ENTRIES_REREAD_INTERVAL
 
-    def _pause(self, detail: str) -> timedelta:
+    def _back_off(self, detail: str) -> timedelta:
         self._node.sink.emit(AnnouncementFailed(detail))
-        pause = min(FIRST_PAUSE_S * 2.0**self._failures, LONGEST_PAUSE_S)
+        backoff_s = min(INITIAL_BACKOFF_S * 2.0**self._failures, MAX_BACKOFF_S)
         self._failures += 1
-        return timedelta(seconds=pause * self._node.random.uniform(0.5, 1.0))
+        return timedelta(seconds=backoff_s * self._node.random.uniform(0.5, 1.0))
--- a/packages/gateway/src/sycamorenotch_gateway/_relay.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_relay.py
@@ -1,4 +1,4 @@
-"""Lets instances that the store turns away read topics from their peers."""
+"""Serves topics to instances that the store refuses."""
 
 from __future__ import annotations
 
@@ -31,47 +31,47 @@
 from sycamorenotch_transport import HttpRequest
 from sycamorenotch_transport import HttpResponse
 
-PATH = "/v1/topics/"
-BACKLOG = 64
+TOPIC_PATH_PREFIX = "/v1/topics/"
+ACCEPT_BACKLOG = 64
 # A peer in another region answers within a few round trips.
-CONNECT_S = 0.5
-CALL_S = 1.0
+CONNECT_TIMEOUT_S = 0.5
+REQUEST_TIMEOUT_S = 1.0
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class _Configurations:
+class _ConfigurationsPayload:
     revision: int
     items: dict[str, ForwardingConfiguration]
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class _Workers:
+class _WorkersPayload:
     revision: int
     items: dict[str, WorkerEntry]
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class _Names:
+class _EvacuationsPayload:
     revision: int
     items: dict[str, str]
 
 
 _ADAPTERS: dict[Topic, TypeAdapter[Any]] = {
-    Topic.CONFIGURATION: TypeAdapter(_Configurations),
-    Topic.WORKERS: TypeAdapter(_Workers),
-    Topic.EVACUATIONS: TypeAdapter(_Names),
+    Topic.CONFIGURATION: TypeAdapter(_ConfigurationsPayload),
+    Topic.WORKERS: TypeAdapter(_WorkersPayload),
+    Topic.EVACUATIONS: TypeAdapter(_EvacuationsPayload),
 }
-_TYPES: dict[Topic, Callable[..., Any]] = {
-    Topic.CONFIGURATION: _Configurations,
-    Topic.WORKERS: _Workers,
-    Topic.EVACUATIONS: _Names,
+_PAYLOADS: dict[Topic, Callable[..., Any]] = {
+    Topic.CONFIGURATION: _ConfigurationsPayload,
+    Topic.WORKERS: _WorkersPayload,
+    Topic.EVACUATIONS: _EvacuationsPayload,
 }
 
-# Returns what this instance knows of a topic, if the store keeps it current.
-Snapshot = Callable[[], Batch | None]
+# Returns a snapshot of a topic, or ``None`` while the store does not keep it current.
+SnapshotSource = Callable[[], Batch | None]
 
 
 @gateway_components.register("relay")
@@ -83,7 +83,7 @@
 
     def __init__(self, node: GatewayNode) -> None:
         self._node = node
-        self._snapshots: dict[Topic, Snapshot] = {}
+        self._snapshots: dict[Topic, SnapshotSource] = {}
         self._server = Http1Server(
             node.reactor,
             self._serve,
@@ -94,43 +94,46 @@
         node.provide(Relay, self)
 
     def start(self) -> None:
-        """Listen for peers."""
-        self._server.listen(self._node.settings.gossip, BACKLOG)
+        """Listen for requests of peers."""
+        self._server.listen(self._node.settings.gossip, ACCEPT_BACKLOG)
 
     async def stop(self) -> None:
-        """Stop to serve peers."""
+        """Close the listener and its connections."""
         await self._server.stop(0)
 
     @property
     def address(self) -> str:
-        """``IP:port`` that peers are served on."""
+        """``IP:port`` on which peers are served."""
         return self._server.address
 
-    def offer(self, topic: Topic, snapshot: Snapshot) -> None:
-        """Serve a topic to peers."""
+    def publish(self, topic: Topic, snapshot: SnapshotSource) -> None:
+        """Register the snapshots of a topic that peers may read."""
         self._snapshots[topic] = snapshot
 
     async def read(self, topic: Topic, after: int) -> Batch | None:
-        """Read a topic from a peer that knows more of it.
+        """Read a topic from a random peer.
 
-        :param after: revision that is known already.
+        :param after: newest revision that this instance has.
+        :return: a snapshot with a newer revision, or ``None``.
         """
         peers = self.peers()
         if not peers or topic not in _ADAPTERS:
             return None
         peer = self._node.random.choice(peers)
-        found = await self._ask(peer, topic)
+        found = await self._fetch(peer, topic)
         if found.is_error() or found.ok.revision <= after:
             return None
         return found.ok
 
-    async def _ask(self, peer: PeerEntry, topic: Topic) -> Result[Batch, str]:
+    async def _fetch(self, peer: PeerEntry, topic: Topic) -> Result[Batch, str]:
         pool = Http1Pool(self._node.reactor, peer.gossip, self._node.clock)
-        request = HttpRequest("GET", PATH + topic.value, (("Host", peer.gossip),))
+        request = HttpRequest(
+            "GET", TOPIC_PATH_PREFIX + topic.value, (("Host", peer.gossip),)
+        )
         exchange: Deferred[HttpResponse] = Deferred.fromCoroutine(
-            pool.exchange(request, CONNECT_S)
+            pool.exchange(request, CONNECT_TIMEOUT_S)
         )
-        exchange.addTimeout(CALL_S, self._node.reactor)
+        exchange.addTimeout(REQUEST_TIMEOUT_S, self._node.reactor)
         try:
             response = await exchange
         except (ExchangeError, DeferredTimeoutError) as exc:
@@ -145,7 +148,7 @@
             return Error(f"the peer's answer cannot be read: {exc.error_count()}")
 
     async def _serve(self, request: HttpRequest) -> HttpResponse:
-        name = request.target.removeprefix(PATH)
+        name = request.target.removeprefix(TOPIC_PATH_PREFIX)
         found = next((t for t in self._snapshots if t.value == name), None)
         batch = None if found is None else self._snapshots[found]()
         if found is None or batch is None:
@@ -155,7 +158,7 @@
 
 def _encode(topic: Topic, batch: Batch) -> bytes:
     items = {item.name: item.value for item in batch.items}
-    return _ADAPTERS[topic].dump_json(_TYPES[topic](batch.revision, items))
+    return _ADAPTERS[topic].dump_json(_PAYLOADS[topic](batch.revision, items))
 
 
 def _decode(topic: Topic, body: bytes) -> Batch:
--- a/packages/gateway/src/sycamorenotch_gateway/_reload.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_reload.py
@@ -1,4 +1,4 @@
-"""Reads the settings file again when it changes."""
+"""Reloads the settings file when it changes."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from sycamorenotch_gateway._node import GatewayNode
 from sycamorenotch_gateway._settings import parse_gateway_settings
 
-# The file may change without a signal.
-LOOK = timedelta(seconds=1)
-# A turn that comes this much late means that the process did not run.
-PAUSE_S = 1.0
+# Also finds changes for which no SIGHUP was sent.
+CHECK_INTERVAL = timedelta(seconds=1)
+# A check that is later than this means that the process was suspended.
+PAUSE_THRESHOLD_S = 1.0
 
 
 @final
 class SettingsWatch:
-    """Puts changed settings in force; listeners keep their addresses.
+    """Applies changed settings; listeners keep their addresses.
 
     :param path: the settings file.
     """
@@ -31,16 +31,16 @@
         self._node = node
         self._path = path
         self._text = path.read_text()
-        self._due = node.clock()
+        self._next_check_at = node.clock()
         self._loop = node.background(self._turn)
 
     def start(self) -> None:
-        """Look at the file from now on."""
-        self._due = self._node.clock() + LOOK.total_seconds()
-        self._loop.start(LOOK)
+        """Start to check the file for changes."""
+        self._next_check_at = self._node.clock() + CHECK_INTERVAL.total_seconds()
+        self._loop.start(CHECK_INTERVAL)
 
-    def read(self) -> None:
-        """Read the file and put it in force if it is valid."""
+    def reload(self) -> None:
+        """Read the file and apply it if it is valid."""
         try:
             text = self._path.read_text()
             settings = parse_gateway_settings(text)
@@ -48,26 +48,26 @@
             self._node.sink.emit(SettingsInvalid(str(exc)))
             return
         changed, self._text = text != self._text, text
-        kept = self._node.settings
-        # Addresses of listeners and the store's adapter last for the process.
+        current = self._node.settings
+        # Listener addresses and the store adapter cannot change in a running process.
         self._node.settings = dataclasses.replace(
-            kept,
+            current,
             placement=settings.placement,
             resources=settings.resources,
             bounds=settings.bounds,
         )
-        self._node.sink.emit(SettingsReloaded(kept.instance, changed))
+        self._node.sink.emit(SettingsReloaded(current.instance, changed))
 
     async def _turn(self) -> timedelta:
         now = self._node.clock()
-        if now - self._due > PAUSE_S:
-            self._node.sink.emit(ProcessPaused(round(now - self._due, 3)))
-        self._due = now + LOOK.total_seconds()
+        if now - self._next_check_at > PAUSE_THRESHOLD_S:
+            self._node.sink.emit(ProcessPaused(round(now - self._next_check_at, 3)))
+        self._next_check_at = now + CHECK_INTERVAL.total_seconds()
         try:
             text = self._path.read_text()
         except OSError as exc:
             self._node.sink.emit(SettingsInvalid(str(exc)))
-            return LOOK
+            return CHECK_INTERVAL
         if text != self._text:
-            self.read()
-        return LOOK
+            self.reload()
+        return CHECK_INTERVAL
--- a/packages/gateway/src/sycamorenotch_gateway/_routes.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_routes.py
@@ -1,4 +1,4 @@
-"""The configuration in force on a gateway."""
+"""The configuration that a gateway applies."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from sycamorenotch_kernel import gateway_components
 from sycamorenotch_policies import RouteTable
 
-Listener = Callable[[ForwardingConfiguration], None]
+ConfigurationListener = Callable[[ForwardingConfiguration], None]
 
 
 @gateway_components.register("routes")
@@ -29,8 +29,8 @@
     def __init__(self, node: GatewayNode) -> None:
         self._node = node
         self.table: RouteTable | None = None
-        self._follower = Follower(node, Topic.CONFIGURATION, self._receive)
-        self._listeners: list[Listener] = []
+        self._follower = Follower(node, Topic.CONFIGURATION, self._apply_batch)
+        self._listeners: list[ConfigurationListener] = []
         node.provide(Routes, self)
 
     def start(self) -> None:
@@ -38,23 +38,23 @@
         self._follower.start()
 
     async def stop(self) -> None:
-        """Stop to follow; the configuration stays in force."""
+        """Stop following the topic; the configuration stays in force."""
         self._follower.stop()
 
-    def subscribe(self, listener: Listener) -> None:
-        """Call a function with each configuration that comes into force."""
+    def subscribe(self, listener: ConfigurationListener) -> None:
+        """Register a function that is called with each applied configuration."""
         self._listeners.append(listener)
 
     @property
     def version(self) -> int:
-        """Version in force, or 0."""
+        """Version of the configuration in force, or 0 if there is none."""
         return 0 if self.table is None else self.table.configuration.version
 
-    def put(self, configuration: ForwardingConfiguration) -> None:
-        """Put a configuration in force if it is newer than the present one."""
-        known = self.table
-        if known is not None and (
-            known.configuration.revision >= configuration.revision
+    def apply(self, configuration: ForwardingConfiguration) -> None:
+        """Apply a configuration if it is newer than the one in force."""
+        current = self.table
+        if current is not None and (
+            current.configuration.revision >= configuration.revision
         ):
             return
         self.table = RouteTable(configuration)
@@ -68,11 +68,11 @@
         for listener in self._listeners:
             listener(configuration)
 
-    def _receive(self, batch: Batch, whole: bool) -> None:
+    def _apply_batch(self, batch: Batch, is_snapshot: bool) -> None:
         for item in batch.items:
             if item.problem:
                 self._node.sink.emit(
                     ConfigurationRejected(item.name, item.revision, item.problem)
                 )
             elif not item.removed and item.value is not None:
-                self.put(item.value)
+                self.apply(item.value)
--- a/packages/gateway/src/sycamorenotch_gateway/_settings.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_settings.py
@@ -1,4 +1,4 @@
-"""The settings of one gateway."""
+"""Settings of a gateway, read from an INI file."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 GATEWAY_KINDS: Registry[SectionKind] = Registry("gateway settings section")
 
 Label = Annotated[str, Field(min_length=1, max_length=253)]
-# Numbers stand as text in an INI file.
+# INI files hold numbers as text, so these are not strict.
 Number = Annotated[float, Field(ge=0)]
 Positive = Annotated[float, Field(gt=0)]
 
 
 @section(GATEWAY_KINDS, "instance", named=False)
 class InstanceSection(SectionModel):
-    """``[instance]``: who and where this instance is."""
+    """``[instance]``: identifier and location of this instance."""
 
     id: Label
     region: Label
@@ -59,7 +59,7 @@
 
 @section(GATEWAY_KINDS, "platform", named=False)
 class PlatformSection(SectionModel):
-    """``[platform]``: the store, and how callers and workers speak."""
+    """``[platform]``: the store, its adapter and the HTTP dialect."""
 
     feed: Name
     dialect: Name
@@ -68,11 +68,11 @@
 
 @section(GATEWAY_KINDS, "machine", named=False, required=False)
 class MachineSection(SectionModel):
-    """``[machine]``: what the instance may use of its machine.
+    """``[machine]``: resources of the machine that the instance may use.
 
-    :param processor_share: part of the processor's time.
-    :param processor_speed: speed of the processor, in cores.
-    :param link_mbps: megabits a second, each way.
+    :param processor_share: fraction of the processor time.
+    :param processor_speed: capacity of the processor, in cores.
+    :param link_mbps: bandwidth in each direction, in Mbit/s.
     """
 
     processor_share: Positive = 1.0
@@ -82,10 +82,12 @@
 
 @section(GATEWAY_KINDS, "bounds", named=False, required=False)
 class BoundsSection(SectionModel):
-    """``[bounds]``: what operators promise callers and workers.
+    """``[bounds]``: limits agreed with callers and workers.
 
-    :param grace: longest time between the order to stop and the end.
-    :param answer_lifetime: how long callers may use a look-up answer.
+    :param grace: maximum time from the start of a shutdown to its end.
+    :param answer_lifetime: maximum time to live of a look-up answer.
+    :param retry_ratio: retries allowed per request, over ``retry_window``.
+    :param extra_retries: retries in ``retry_window`` that all instances may add.
     """
 
     grace: Duration = timedelta(seconds=6)
@@ -98,7 +100,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """Validated settings of one gateway."""
+    """Validated settings of a gateway; addresses are ``IP:port``."""
 
     instance: str
     placement: Placement
@@ -117,7 +119,7 @@
 def parse_gateway_settings(text: str) -> GatewaySettings:
     """Validate a settings file.
 
-    :raises InvalidFileError: with every mistake found.
+    :raises InvalidFileError: with every problem found.
     """
     found = read_sections(text, GATEWAY_KINDS)
     if found.problems:
--- a/packages/gateway/src/sycamorenotch_gateway/_suspicion.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_suspicion.py
@@ -1,4 +1,4 @@
-"""Holds back requests that crash the workers that run them."""
+"""Quarantines requests that crash the workers that run them."""
 
 from __future__ import annotations
 
@@ -19,97 +19,110 @@
 from sycamorenotch_policies import Strike
 from sycamorenotch_policies import sign_request
 
-# A crash shows by refused connections or a new start soon after the request.
-CONFIRM_S = 5.0
-# Lost requests that wait for a sign of a crash; the oldest are forgotten.
-MOST_PENDING = 256
-# Strikes in one datagram; each is told several times.
-TOLD_STRIKES = 12
+# A crash shows as refused connections or a restart within this time of the loss.
+CRASH_CONFIRMATION_S = 5.0
+# Bound on lost requests that wait for a crash to show; the oldest are discarded.
+MAX_PENDING_LOSSES = 256
+# Each strike is sent in several heartbeats, so a lost datagram costs none.
+MAX_STRIKES_PER_HEARTBEAT = 12
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class _Lost:
-    """A request whose worker broke off without an answer."""
+class _LostRequest:
+    """A request whose worker closed the connection without an answer.
+
+    :param lost_at: time on the monotonic clock, in seconds.
+    """
 
     signature: Signature
     request: str
-    at: float
+    lost_at: float
 
 
 @gateway_components.register("suspicion")
 @final
-class Suspicion:
-    """Links requests that were lost to crashes of their workers.
+class CrashSuspicion:
+    """Correlates lost requests with crashes of their workers.
 
-    A lost answer is no crash: a strike counts when the worker is found down or
-    started anew afterwards.
+    A lost answer alone is not a crash. A strike is counted only if the worker is
+    then found to be down or restarted.
     """
 
     after: ClassVar[tuple[str, ...]] = ()
 
     def __init__(self, node: GatewayNode) -> None:
         self._node = node
-        self._lost: dict[str, list[_Lost]] = {}
-        # A restarted instance counts its strikes from 1 again.
+        self._lost_requests: dict[str, list[_LostRequest]] = {}
+        # A restarted instance numbers its strikes from 1 again, so its start time is
+        # part of their origin.
         self._origin = f"{node.settings.instance}/{node.started}"
         self._quarantine = Quarantine(self._origin)
-        node.provide(Suspicion, self)
+        node.provide(CrashSuspicion, self)
 
     def start(self) -> None:
-        """Do nothing; attempts and peers bring the news."""
+        """Do nothing; attempts and peers report to this component."""
 
     async def stop(self) -> None:
         """Do nothing."""
 
-    def sign(self, call: ForwardCall) -> Signature:
-        """Return a digest of what a request asks for."""
+    def signature_of(self, call: ForwardCall) -> Signature:
+        """Return a digest that is equal for equal requests."""
         return sign_request(call.host, call.method, call.target, call.body)
 
     def refusal(self, signature: Signature) -> Refusal | None:
-        """Return why a request is held back, if it is."""
+        """Return the refusal of a quarantined request, or ``None``."""
         remaining = self._quarantine.remaining(signature, self._now())
         if remaining is None:
             return None
         detail = "the same request has crashed several workers"
-        seconds = remaining.total_seconds()
-        return Refusal(ErrorKind.QUARANTINED, Ran.NO, detail, seconds)
+        retry_after_s = remaining.total_seconds()
+        return Refusal(ErrorKind.QUARANTINED, Ran.NO, detail, retry_after_s)
 
-    def answered(self, signature: Signature) -> None:
-        """Clear a request that a worker has answered."""
+    def record_success(self, signature: Signature) -> None:
+        """Record that a worker has answered the request."""
         self._quarantine.record_answer(signature)
 
-    def lost(self, signature: Signature, request: str, worker: str) -> None:
-        """Take note of a request whose worker broke off without an answer."""
-        if sum(map(len, self._lost.values())) >= MOST_PENDING:
-            self._lost.pop(next(iter(self._lost)))
-        found = _Lost(signature, request, self._node.clock())
-        self._lost.setdefault(worker, []).append(found)
+    def record_lost_request(
+        self, signature: Signature, request: str, worker: str
+    ) -> None:
+        """Record a request whose worker closed the connection without an answer."""
+        if sum(map(len, self._lost_requests.values())) >= MAX_PENDING_LOSSES:
+            self._lost_requests.pop(next(iter(self._lost_requests)))
+        lost_request = _LostRequest(signature, request, self._node.clock())
+        self._lost_requests.setdefault(worker, []).append(lost_request)
+
+    def record_crash(self, worker: str) -> None:
+        """Count a strike for each request lost by the worker within the window.
 
-    def crashed(self, worker: str) -> None:
-        """Count a strike for each request that its worker lost lately."""
+        The window is ``CRASH_CONFIRMATION_S``.
+        """
         now = self._node.clock()
-        for found in self._lost.pop(worker, []):
-            if now - found.at > CONFIRM_S:
+        for lost_request in self._lost_requests.pop(worker, []):
+            if now - lost_request.lost_at > CRASH_CONFIRMATION_S:
                 continue
             entered = self._quarantine.record_strike(
-                found.signature, worker, self._now()
+                lost_request.signature, worker, self._now()
             )
             if entered:
                 self._node.sink.emit(
-                    RequestQuarantined(found.request, found.signature, worker)
+                    RequestQuarantined(
+                        lost_request.request, lost_request.signature, worker
+                    )
                 )
 
-    def alive(self, worker: str) -> None:
-        """Drop what was suspected of a worker that answers."""
-        self._lost.pop(worker, None)
+    def record_alive(self, worker: str) -> None:
+        """Discard the lost requests of a worker that answers."""
+        self._lost_requests.pop(worker, None)
 
     def strikes(self) -> tuple[Strike, ...]:
-        """Return the newest strikes seen here."""
-        return self._quarantine.strikes_since(0, self._now())[-TOLD_STRIKES:]
+        """Return the newest strikes that this instance has recorded."""
+        return self._quarantine.strikes_since(0, self._now())[
+            -MAX_STRIKES_PER_HEARTBEAT:
+        ]
 
     def merge(self, strikes: tuple[Strike, ...]) -> None:
-        """Count the strikes that another instance saw."""
+        """Merge the strikes that another instance has recorded."""
         self._quarantine.merge(strikes, self._now())
 
     def _now(self) -> timedelta:
--- a/packages/gateway/src/sycamorenotch_gateway/_workers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_workers.py
@@ -1,4 +1,4 @@
-"""Keeps the table of workers and their connections."""
+"""Tracks the workers in the store and pools their connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from sycamorenotch_gateway._node import GatewayNode
 from sycamorenotch_gateway._relay import Relay
 from sycamorenotch_gateway._routes import Routes
-from sycamorenotch_gateway._suspicion import Suspicion
+from sycamorenotch_gateway._suspicion import CrashSuspicion
 from sycamorenotch_kernel import Batch
 from sycamorenotch_kernel import ForwardingConfiguration
 from sycamorenotch_kernel import Item
@@ -27,34 +27,36 @@
 from sycamorenotch_policies import WorkerView
 from sycamorenotch_transport import Http1Pool
 
-# Entries that lapsed during an outage of the store are back within two seconds
-# of its return; the rest covers the way of the news.
-RETURN_S = 2.2
-TICK = timedelta(seconds=0.25)
-# Part of a worker's connections that may be idle; the rest is for requests.
-IDLE_PART = 0.5
-# Idle connections of one instance to one worker at most.
-IDLE_CONNECTIONS = 16
+# Entries that expired during an outage of the store are written again within two
+# seconds of its recovery; the rest covers the delay of the watch.
+ENTRY_RETURN_GRACE_S = 2.2
+MAINTENANCE_INTERVAL = timedelta(seconds=0.25)
+# Fraction of a worker's connections that may be idle; the rest serves requests.
+IDLE_CONNECTION_FRACTION = 0.5
+# Per worker, for each instance.
+MAX_IDLE_CONNECTIONS = 16
 
 
 @gateway_components.register("workers")
 @final
 class Workers:
-    """Workers of the store, data centres under evacuation, connection pools."""
+    """Workers from the store, evacuated data centres, and connection pools."""
 
     after: ClassVar[tuple[str, ...]] = ("relay", "routes", "suspicion")
 
     def __init__(self, node: GatewayNode) -> None:
         self._node = node
-        self.book = WorkerBook(lambda place: node.settings.placement.region_of(place))
+        self.directory = WorkerBook(
+            lambda data_centre: node.settings.placement.region_of(data_centre)
+        )
         self._pools: dict[str, Http1Pool] = {}
-        self._trust: dict[str, IdleTrust] = {}
-        self._follower = Follower(node, Topic.WORKERS, self._receive)
-        self._evacuations = Follower(node, Topic.EVACUATIONS, self._evacuate)
-        self._empty: set[str] = set()
-        self._tick = node.background(self._turn)
-        node.require(Routes).subscribe(self._configured)
-        self._suspicion = node.require(Suspicion)
+        self._idle_timeout_estimators: dict[str, IdleTrust] = {}
+        self._follower = Follower(node, Topic.WORKERS, self._apply_batch)
+        self._evacuations = Follower(node, Topic.EVACUATIONS, self._apply_evacuations)
+        self._evacuated_data_centres: set[str] = set()
+        self._maintenance = node.background(self._turn)
+        node.require(Routes).subscribe(self._apply_configuration)
+        self._suspicion = node.require(CrashSuspicion)
         self._relay = node.require(Relay)
         node.provide(Workers, self)
 
@@ -62,13 +64,13 @@
         """Follow workers and evacuations."""
         self._follower.start()
         self._evacuations.start()
-        self._tick.start(TICK)
+        self._maintenance.start(MAINTENANCE_INTERVAL)
 
     async def stop(self) -> None:
-        """Stop to follow and close idle connections."""
+        """Stop following the topics, and close the pools."""
         self._follower.stop()
         self._evacuations.stop()
-        self._tick.stop()
+        self._maintenance.stop()
         for pool in self._pools.values():
             pool.close()
 
@@ -78,7 +80,7 @@
         return self._follower.complete and self._evacuations.complete
 
     def pool(self, view: WorkerView) -> Http1Pool:
-        """Return the connections to a worker."""
+        """Return the connection pool of a worker; it is created on first use."""
         name = view.entry.id
         if name not in self._pools:
             self._pools[name] = Http1Pool(
@@ -86,47 +88,51 @@
             )
         return self._pools[name]
 
-    def trust(self, service: str) -> IdleTrust:
-        """Return what is known of idle connections to the workers of a service."""
-        return self._trust.setdefault(service, IdleTrust())
+    def idle_timeout_estimator(self, service: str) -> IdleTrust:
+        """Return the estimator of the idle timeout of a service's workers."""
+        return self._idle_timeout_estimators.setdefault(service, IdleTrust())
 
-    def moved(self, view: WorkerView) -> None:
-        """Drop a worker whose address belongs to another one."""
+    def remove_reassigned(self, view: WorkerView) -> None:
+        """Remove a worker whose address now belongs to another one."""
         self._remove(view.entry.id, "another worker has its address", 0)
 
-    def _configured(self, configuration: ForwardingConfiguration) -> None:
-        self.book.limits.clear()
-        self.book.limits.update(configuration.services)
+    def _apply_configuration(self, configuration: ForwardingConfiguration) -> None:
+        self.directory.limits.clear()
+        self.directory.limits.update(configuration.services)
 
-    def _receive(self, batch: Batch, whole: bool) -> None:
+    def _apply_batch(self, batch: Batch, is_snapshot: bool) -> None:
         now = self._node.clock()
-        if whole:
+        if is_snapshot:
             present = {item.name for item in batch.items}
-            for name in self.book.names() - present:
-                self._missing(name, batch.revision, now)
+            for name in self.directory.names() - present:
+                self._handle_missing_entry(name, batch.revision, now)
         for item in batch.items:
-            self._take(item, now)
+            self._apply_item(item, now)
 
-    def _take(self, item: Item, now: float) -> None:
+    def _apply_item(self, item: Item, now: float) -> None:
         if item.removed:
-            self._missing(item.name, item.revision, now)
+            self._handle_missing_entry(item.name, item.revision, now)
         elif item.problem:
             self._node.sink.emit(
                 WorkerEntryIgnored(item.name, item.problem, item.revision)
             )
             self._remove(item.name, "its entry cannot be read", item.revision)
         else:
-            self._put(item.value, item.revision, now)
-
-    def _put(self, entry: WorkerEntry, revision: int, now: float) -> None:
-        known = self.book.get(entry.id)
-        if known is not None and known.entry.address != entry.address:
-            self._close(entry.id)
-        if known is not None and known.entry == entry and known.missing_until is None:
+            self._update_entry(item.value, item.revision, now)
+
+    def _update_entry(self, entry: WorkerEntry, revision: int, now: float) -> None:
+        existing = self.directory.get(entry.id)
+        if existing is not None and existing.entry.address != entry.address:
+            self._close_pool(entry.id)
+        if (
+            existing is not None
+            and existing.entry == entry
+            and existing.missing_until is None
+        ):
             return
-        if known is not None and known.entry.incarnation != entry.incarnation:
-            self._suspicion.crashed(entry.id)
-        self.book.put(entry, now)
+        if existing is not None and existing.entry.incarnation != entry.incarnation:
+            self._suspicion.record_crash(entry.id)
+        self.directory.put(entry, now)
         self._node.sink.emit(
             WorkerChanged(
                 entry.id,
@@ -138,60 +144,60 @@
             )
         )
 
-    def _missing(self, name: str, revision: int, now: float) -> None:
-        view = self.book.get(name)
+    def _handle_missing_entry(self, name: str, revision: int, now: float) -> None:
+        view = self.directory.get(name)
         if view is None:
             return
         regained = self._follower.regained_at
-        until = -inf if regained is None else regained + RETURN_S
+        until = -inf if regained is None else regained + ENTRY_RETURN_GRACE_S
         if now < until and not view.entry.draining and not view.unreachable:
-            self.book.miss(name, until)
+            self.directory.miss(name, until)
             return
         self._remove(name, "its entry was removed", revision)
 
     def _remove(self, name: str, reason: str, revision: int) -> None:
-        if self.book.get(name) is None:
+        if self.directory.get(name) is None:
             return
-        self.book.remove(name)
-        self._close(name)
+        self.directory.remove(name)
+        self._close_pool(name)
         self._node.sink.emit(WorkerRemoved(name, reason, revision))
 
-    def _close(self, name: str) -> None:
+    def _close_pool(self, name: str) -> None:
         pool = self._pools.pop(name, None)
         if pool is not None:
             pool.close()
 
-    def _evacuate(self, batch: Batch, whole: bool) -> None:
-        if whole:
-            self._empty.clear()
+    def _apply_evacuations(self, batch: Batch, is_snapshot: bool) -> None:
+        if is_snapshot:
+            self._evacuated_data_centres.clear()
         for item in batch.items:
             if item.removed:
-                self._empty.discard(item.name)
+                self._evacuated_data_centres.discard(item.name)
             else:
-                self._empty.add(item.name)
-        empty = frozenset(self._empty)
-        if empty != self.book.evacuated:
-            self.book.evacuate(empty, self._node.clock())
+                self._evacuated_data_centres.add(item.name)
+        data_centres = frozenset(self._evacuated_data_centres)
+        if data_centres != self.directory.evacuated:
+            self.directory.evacuate(data_centres, self._node.clock())
             self._node.sink.emit(
-                EvacuationChanged(",".join(sorted(empty)), batch.revision)
+                EvacuationChanged(",".join(sorted(data_centres)), batch.revision)
             )
 
     async def _turn(self) -> timedelta:
-        for name in self.book.expire(self._node.clock()):
-            self._close(name)
+        for name in self.directory.expire(self._node.clock()):
+            self._close_pool(name)
             reason = "its entry did not come back after an outage of the store"
             self._node.sink.emit(WorkerRemoved(name, reason, 0))
         for name, pool in self._pools.items():
             pool.idle_limit = self._idle_share(name)
             pool.prune()
-        return TICK
+        return MAINTENANCE_INTERVAL
 
     def _idle_share(self, worker: str) -> int:
-        """Idle connections of this instance to a worker that all share."""
-        view = self.book.get(worker)
-        limits = None if view is None else self.book.limits.get(view.entry.service)
+        """Return this instance's share of the idle connections to a worker."""
+        view = self.directory.get(worker)
+        limits = None if view is None else self.directory.limits.get(view.entry.service)
         if limits is None or limits.connections <= 0:
-            return IDLE_CONNECTIONS
+            return MAX_IDLE_CONNECTIONS
         instances = 1 + len(self._relay.peers())
-        share = int(limits.connections * IDLE_PART / instances)
-        return max(1, min(IDLE_CONNECTIONS, share))
+        share = int(limits.connections * IDLE_CONNECTION_FRACTION / instances)
+        return max(1, min(MAX_IDLE_CONNECTIONS, share))
--- a/packages/gateway/src/sycamorenotch_gateway/main.py
+++ b/packages/gateway/src/sycamorenotch_gateway/main.py
@@ -29,8 +29,8 @@
 
 reactor: Any = _reactor
 
-EXIT_SETTINGS = 2
-MILLISECONDS = 1000
+EXIT_INVALID_SETTINGS = 2
+MS_PER_S = 1000
 
 SETTINGS = flags.DEFINE_string("settings", None, "Path of the settings file.")
 SETTINGS_VARIABLE = flags.DEFINE_string(
@@ -39,19 +39,19 @@
 
 
 def main() -> None:
-    """Run the gateway until it is told to stop."""
+    """Run the gateway until it receives a signal to stop."""
     app.run(_run)
 
 
 def _run(argv: list[str]) -> int:
-    # Timers must not follow steps of the wall clock.
+    # Timers must not depend on steps of the wall clock.
     reactor.seconds = time.monotonic
     try:
         path = _settings_path()
         settings = parse_gateway_settings(path.read_text())
     except (InvalidFileError, OSError, KeyError) as exc:
         print(exc, file=sys.stderr)
-        return EXIT_SETTINGS
+        return EXIT_INVALID_SETTINGS
     _serve(_build(settings), path)
     return 0
 
@@ -72,17 +72,17 @@
         settings=settings,
         reactor=reactor,
         clock=time.monotonic,
-        started=int(time.time() * MILLISECONDS),
+        started=int(time.time() * MS_PER_S),
         random=SystemRandom(),
         sink=log,
         feed=object_feeds.get(settings.feed)(settings.store, reactor, time.monotonic),
         dialect=dialects.get(settings.dialect)(),
-        processor_clock=_processor_s,
+        processor_clock=_processor_time_s,
     )
     return Gateway(node)
 
 
-def _processor_s() -> float:
+def _processor_time_s() -> float:
     """Return the processor time of this process, in seconds."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return used.ru_utime + used.ru_stime
@@ -94,13 +94,13 @@
     def stop() -> Deferred[None]:
         return Deferred.fromCoroutine(gateway.stop())
 
-    def started() -> None:
-        # The reactor installs its own handlers first.
-        signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(watch.read))
+    def start() -> None:
+        # The reactor installs its signal handlers before it calls this.
+        signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(watch.reload))
         watch.start()
         gateway.start()
 
-    reactor.callWhenRunning(started)
+    reactor.callWhenRunning(start)
     reactor.addSystemEventTrigger("before", "shutdown", stop)
     reactor.run()
 
--- a/packages/gateway/src/sycamorenotch_gateway/plugins.py
+++ b/packages/gateway/src/sycamorenotch_gateway/plugins.py
@@ -1,4 +1,4 @@
-"""Imports the modules that register parts of the gateway."""
+"""Imports the modules that register components of the gateway."""
 
 from __future__ import annotations
 
--- /dev/null
+++ b/testing/gateway/test_heartbeats.py
@@ -0,0 +1,106 @@
+"""Tests of the heartbeat codec."""
+
+from __future__ import annotations
+
+import dataclasses
+from datetime import timedelta
+
+import msgpack
+import pytest
+
+from sycamorenotch_gateway._heartbeats import FULL_HEARTBEAT_EVERY
+from sycamorenotch_gateway._heartbeats import FULL_HEARTBEATS_AT_START
+from sycamorenotch_gateway._heartbeats import HeartbeatCodec
+from sycamorenotch_kernel import PeerEntry
+from sycamorenotch_kernel import Resources
+from sycamorenotch_policies import Beat
+from sycamorenotch_policies import Signature
+from sycamorenotch_policies import Strike
+
+ENTRY = PeerEntry("a-1", "west", "a", "10.0.0.1:80", "10.0.0.1:90", 1_700_000_000_000)
+REGULAR = FULL_HEARTBEAT_EVERY * FULL_HEARTBEATS_AT_START + 1
+STRIKE = Strike(Signature("s"), "i-1", "a-1/1", 1, timedelta(seconds=1))
+
+
+def heartbeat(sequence: int = REGULAR, **changes) -> Beat:
+    entry = dataclasses.replace(ENTRY, **changes)
+    return Beat(entry, sequence, True, Resources(2.0, 200.0), Resources(0.25, 3.5))
+
+
+@pytest.fixture
+def sender() -> HeartbeatCodec:
+    return HeartbeatCodec()
+
+
+@pytest.fixture
+def receiver() -> HeartbeatCodec:
+    return HeartbeatCodec()
+
+
+def test_full_heartbeat_is_decoded_unchanged(sender, receiver) -> None:
+    found, strikes = receiver.decode(sender.encode(heartbeat(1), (STRIKE,)))
+    assert found == heartbeat(1)
+    assert strikes == (STRIKE,)
+
+
+def test_compact_heartbeat_is_completed_from_the_last_full_one(
+    sender, receiver
+) -> None:
+    receiver.decode(sender.encode(heartbeat(1), ()))
+    assert receiver.decode(sender.encode(heartbeat(), ()))[0] == heartbeat()
+
+
+def test_compact_heartbeat_has_at_most_a_quarter_of_the_full_size(sender) -> None:
+    compact, full = (
+        sender.encode(heartbeat(), ()),
+        sender.encode(heartbeat(), (), full=True),
+    )
+    assert len(compact) * 4 <= len(full)
+
+
+def test_compact_heartbeat_of_an_unknown_instance_is_discarded(
+    sender, receiver
+) -> None:
+    assert receiver.decode(sender.encode(heartbeat(), ()))[0] is None
+
+
+def test_compact_heartbeat_after_a_restart_is_discarded_until_a_full_one(
+    sender, receiver
+) -> None:
+    receiver.decode(sender.encode(heartbeat(1), ()))
+    restarted = heartbeat(started=ENTRY.started + 1)
+    assert receiver.decode(sender.encode(restarted, ()))[0] is None
+
+
+@pytest.mark.parametrize("step_ms", [5_000, -5_000])
+def test_full_heartbeat_of_the_earlier_process_does_not_replace_the_new_one(
+    sender, receiver, step_ms
+) -> None:
+    # The wall clock may have been set back before the restart, so the newer process
+    # may have the earlier start time.
+    restarted = heartbeat(1, started=ENTRY.started + step_ms)
+    receiver.decode(sender.encode(heartbeat(1), ()))
+    receiver.decode(sender.encode(restarted, ()))
+    receiver.decode(sender.encode(heartbeat(9), (), full=True))
+    again = heartbeat(started=ENTRY.started + step_ms)
+    assert receiver.decode(sender.encode(again, ()))[0] == again
+
+
+def test_heartbeats_at_start_at_intervals_and_when_leaving_are_full(
+    sender, receiver
+) -> None:
+    for sent in (
+        heartbeat(2),
+        heartbeat(FULL_HEARTBEAT_EVERY * 9),
+        heartbeat(leaving=True),
+    ):
+        assert HeartbeatCodec().decode(sender.encode(sent, ()))[0] == sent
+
+
+@pytest.mark.parametrize(
+    "datagram",
+    [b"", b"\xc1", msgpack.packb({"i": 1}), msgpack.packb([1]), msgpack.packb({})],
+)
+def test_malformed_datagram_is_an_error(receiver, datagram) -> None:
+    with pytest.raises(ValueError):
+        receiver.decode(datagram)
--- a/testing/gateway/test_settings.py
+++ b/testing/gateway/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the gateway's settings and the template that fills them."""
+"""Tests of the gateway's settings and of their deployment template."""
 
 from __future__ import annotations
 
@@ -72,7 +72,9 @@
         ("region", "", "[instance] region"),
     ],
 )
-def test_mistake_is_named_with_its_section_and_option(field, value, place) -> None:
+def test_invalid_value_is_reported_with_its_section_and_option(
+    field, value, place
+) -> None:
     with pytest.raises(InvalidFileError, match=re.escape(place)):
         parse_gateway_settings(render(**{field: value}))
 
@@ -95,17 +97,17 @@
     return path, node, SettingsWatch(node, path)
 
 
-def test_changed_settings_are_in_force_after_reload(watched) -> None:
+def test_changed_settings_are_applied_after_a_reload(watched) -> None:
     path, node, watch = watched
     path.write_text(render(**{"bounds.grace": "9s"}))
-    watch.read()
+    watch.reload()
     assert node.settings.bounds.grace == timedelta(seconds=9)
 
 
-def test_settings_in_force_stay_when_the_file_has_mistakes(watched) -> None:
+def test_settings_in_force_stay_when_the_new_file_is_invalid(watched) -> None:
     path, node, watch = watched
     path.write_text(render(**{"bounds.grace": "soon"}))
-    watch.read()
+    watch.reload()
     assert node.settings.bounds.grace == timedelta(seconds=6)
     assert [event.name for event in node.sink.events] == ["gateway.settings-invalid"]
 
@@ -113,5 +115,5 @@
 def test_listeners_keep_their_addresses_over_a_reload(watched) -> None:
     path, node, watch = watched
     path.write_text(render(**{"listen.frontend": "10.1.0.1:9999"}))
-    watch.read()
+    watch.reload()
     assert node.settings.callers == "10.1.0.1:8381"
--- a/testing/platform/conftest.py
+++ b/testing/platform/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: one gateway on the stand-ins of the platform."""
+"""Fixtures: one gateway with a stand-in store and stand-in workers."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
 grace = 800ms
 """
 ROUTES = {"/safe/": "safe", "/once/": "unsafe", "/load/": "download"}
-STEP_S = 0.01
-STEPS = 500
+POLL_INTERVAL_S = 0.01
+MAX_POLLS = 500
 
 
 def route(prefix: str, kind: str, **changes: Any) -> dict[str, Any]:
@@ -93,24 +93,24 @@
     sink: EventList
     sent: int = 0
 
-    async def until(self, condition) -> None:
-        for _ in range(STEPS):
+    async def wait_until(self, condition) -> None:
+        for _ in range(MAX_POLLS):
             if condition():
                 return
-            await deferLater(reactor, STEP_S, lambda: None)
+            await deferLater(reactor, POLL_INTERVAL_S, lambda: None)
         raise AssertionError("the condition did not come true")
 
     async def ready(self) -> None:
         async def answered() -> bool:
-            return (await self.ask("readiness", "/api/readiness")).status == 200
+            return (await self.fetch("readiness", "/api/readiness")).status == 200
 
-        for _ in range(STEPS):
+        for _ in range(MAX_POLLS):
             if await answered():
                 return
-            await deferLater(reactor, STEP_S, lambda: None)
+            await deferLater(reactor, POLL_INTERVAL_S, lambda: None)
         raise AssertionError("the gateway is not ready")
 
-    async def ask(self, listener: str, target: str) -> HttpResponse:
+    async def fetch(self, listener: str, target: str) -> HttpResponse:
         pool = Http1Pool(reactor, self.gateway.addresses[listener], time.monotonic)
         request = HttpRequest("GET", target, (("Host", "h"),))
         response = await pool.exchange(request, 1.0)
@@ -167,11 +167,15 @@
 
 
 @pytest.fixture
-def on_site(run_in_reactor):
-    """Return a function that runs a scenario on a fresh site."""
+def run_on_site(run_in_reactor):
+    """Return a function that runs a scenario on a new site.
+
+    Its ``count`` is the number of workers; other arguments are those of
+    :class:`StandInWorker`.
+    """
 
     def run(scenario, count: int = 2, **changes: Any) -> None:
-        async def whole() -> None:
+        async def main() -> None:
             workers = [StandInWorker(f"i-{n}", **changes) for n in range(count)]
             site = await build_site(workers)
             try:
@@ -182,6 +186,6 @@
                 for server in [site.store.server, *(w.server for w in workers)]:
                     await server.stop(0)
 
-        run_in_reactor(whole())
+        run_in_reactor(main())
 
     return run
--- a/testing/platform/fault_soak.py
+++ b/testing/platform/fault_soak.py
@@ -1,8 +1,8 @@
-"""Injects faults from outside into gateways that run as separate processes.
+"""Injects faults into gateways that run as separate processes.
 
-Gateways are real processes; the store, the workers and the callers are stand-ins
-of this process, and every connection of a gateway to them passes a proxy. What
-callers and workers see is checked against the promises of the system.
+The store, the workers and the callers are stand-ins in this process. Gateways
+reach the store and the workers through proxies. The answers that callers receive
+and the requests that workers run are checked against the guarantees of the system.
 """
 
 from __future__ import annotations
@@ -50,16 +50,16 @@
 
 WORKERS = 6
 CALLERS = 12
-OBJECTS = 12
-ATTEMPTS = 2
-# Time within which every gateway serves again once the faults have ended.
-RECOVERY_S = 15.0
-RESTART_S = 0.3
+OBJECT_KEYS = 12
+MAX_ATTEMPTS = 2
+# Every gateway must serve again within this time after the faults have ended.
+MAX_RECOVERY_S = 15.0
+RESTART_DELAY_S = 0.3
 WORKER_MODES = ("shed", "fail", "cut", "silent")
 
 
 class GatewayProcess(ProcessProtocol):
-    """One gateway; it is started again when it ends."""
+    """A gateway process that is restarted whenever it exits."""
 
     def __init__(self, soak: Soak, name: str, path: Path, log: Path) -> None:
         self._soak = soak
@@ -84,7 +84,7 @@
     def processEnded(self, reason: Any) -> None:
         self.process = None
         if not self._soak.finished:
-            reactor.callLater(RESTART_S, self.start)
+            reactor.callLater(RESTART_DELAY_S, self.start)
 
     def signal(self, number: signal.Signals) -> None:
         if self.process is not None and self.process.pid:
@@ -94,15 +94,15 @@
         if not self.paused:
             self.paused = True
             self.signal(signal.SIGSTOP)
-            reactor.callLater(seconds, self.wake)
+            reactor.callLater(seconds, self.resume)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         self.paused = False
         self.signal(signal.SIGCONT)
 
 
 class BusyWorker(StandInWorker):
-    """A stand-in worker that takes some time."""
+    """A stand-in worker with a random service time."""
 
     def __post_init__(self) -> None:
         super().__post_init__()
@@ -115,7 +115,7 @@
 
 @dataclass
 class Soak:
-    """The stand-ins, gateways and checks of one run."""
+    """Stand-ins, gateways, faults and checks of one run."""
 
     seed: int
     logs: Path
@@ -171,7 +171,7 @@
         headers = (
             ("Host", "h"),
             ("X-Attempt-Id", attempt),
-            ("X-Affinity-Key", str(self.random.randrange(OBJECTS))),
+            ("X-Affinity-Key", str(self.random.randrange(OBJECT_KEYS))),
             ("X-Remaining-Milliseconds", "2000"),
         )
         method = "POST" if kind == "unsafe" else "GET"
@@ -214,7 +214,7 @@
             if request.method == "POST"
         }
         for attempt, count in runs.items():
-            if count > (1 if attempt in unsafe else ATTEMPTS):
+            if count > (1 if attempt in unsafe else MAX_ATTEMPTS):
                 self.problems.append(f"{attempt}: ran {count} times")
             if attempt in self.refused:
                 self.problems.append(f"{attempt}: {self.refused[attempt]}, but it ran")
@@ -234,13 +234,13 @@
     async def inject(self, seconds: float) -> None:
         end = reactor.seconds() + seconds
         kinds: dict[str, Callable[[], None]] = {
-            "kill": lambda: self.any_gateway().signal(signal.SIGKILL),
-            "term": lambda: self.any_gateway().signal(signal.SIGTERM),
-            "hup": lambda: self.any_gateway().signal(signal.SIGHUP),
-            "pause": lambda: self.any_gateway().pause(self.random.uniform(0.2, 2.0)),
-            "worker": self.harm_worker,
-            "worker-link": lambda: self.harm(self.worker_proxies),
-            "store-link": lambda: self.harm(self.store_proxies),
+            "kill": lambda: self.random_gateway().signal(signal.SIGKILL),
+            "term": lambda: self.random_gateway().signal(signal.SIGTERM),
+            "hup": lambda: self.random_gateway().signal(signal.SIGHUP),
+            "pause": lambda: self.random_gateway().pause(self.random.uniform(0.2, 2.0)),
+            "worker": self.break_worker,
+            "worker-link": lambda: self.break_link(self.worker_proxies),
+            "store-link": lambda: self.break_link(self.store_proxies),
             "worker-restart": self.restart_worker,
             "store-down": self.stop_store,
             "store-slow": self.slow_store,
@@ -254,15 +254,15 @@
             kinds[name]()
             await deferLater(reactor, self.random.uniform(0.05, 0.6), lambda: None)
 
-    def any_gateway(self) -> GatewayProcess:
+    def random_gateway(self) -> GatewayProcess:
         return self.random.choice(self.gateways)
 
-    def harm_worker(self) -> None:
+    def break_worker(self) -> None:
         worker = self.random.choice(self.workers)
         worker.mode = self.random.choice(WORKER_MODES)
         reactor.callLater(self.random.uniform(0.2, 2.0), setattr, worker, "mode", "run")
 
-    def harm(self, proxies: list[Proxy]) -> None:
+    def break_link(self, proxies: list[Proxy]) -> None:
         proxy = self.random.choice(proxies)
         proxy.set_mode(self.random.choice(MODES))
         reactor.callLater(self.random.uniform(0.2, 2.0), proxy.set_mode, "")
@@ -302,24 +302,24 @@
     async def run(self, seconds: float) -> None:
         for gateway in self.gateways:
             gateway.start()
-        await self.until_served()
+        await self.wait_until_served()
         callers = [Deferred.fromCoroutine(self.caller()) for _ in range(CALLERS)]
         await self.inject(seconds)
-        self.calm()
+        self.clear_faults()
         await deferLater(reactor, 3.0, lambda: None)
         self.finished = True
         await gatherResults(callers, consumeErrors=True)
-        await self.until_served()
+        await self.wait_until_served()
         self.check_runs()
 
     def end(self) -> None:
-        """End the gateways, whatever became of the run."""
+        """Kill the gateways, also after a failed run."""
         self.finished = True
         for gateway in self.gateways:
-            gateway.wake()
+            gateway.resume()
             gateway.signal(signal.SIGKILL)
 
-    def calm(self) -> None:
+    def clear_faults(self) -> None:
         self.store.down = False
         self.store.delay_s = 0.0
         if ("evacuations", "a") in self.store.objects:
@@ -329,11 +329,11 @@
         for worker in self.workers:
             worker.mode = "run"
         for gateway in self.gateways:
-            gateway.wake()
+            gateway.resume()
 
-    async def until_served(self) -> None:
-        """Wait until every gateway serves, or report the one that does not."""
-        end = reactor.seconds() + RECOVERY_S
+    async def wait_until_served(self) -> None:
+        """Wait until every gateway serves; record those that do not in time."""
+        end = reactor.seconds() + MAX_RECOVERY_S
         for address in self.callers:
             while not await self.serves(address):
                 if reactor.seconds() > end:
@@ -349,7 +349,7 @@
         return self.outcomes["200"] > before
 
 
-async def _whole(soak: Soak) -> None:
+async def _main(soak: Soak) -> None:
     await soak.run(SECONDS.value)
     print(f"seed {soak.seed}: {soak.sent} requests, {dict(soak.outcomes)}")
     print(f"faults: {dict(soak.faults)}")
@@ -370,7 +370,7 @@
         soak.end()
         reactor.callLater(0.5, reactor.stop)
 
-    reactor.callWhenRunning(lambda: Deferred.fromCoroutine(_whole(soak)).addBoth(ended))
+    reactor.callWhenRunning(lambda: Deferred.fromCoroutine(_main(soak)).addBoth(ended))
     reactor.run()
     return 1 if soak.problems or failures else 0
 
--- a/testing/platform/log_cost.py
+++ b/testing/platform/log_cost.py
@@ -1,4 +1,4 @@
-"""Measures the part of a request's processor time that its log takes."""
+"""Measures the fraction of a request's processor time that logging takes."""
 
 from __future__ import annotations
 
@@ -24,42 +24,43 @@
 
 
 class TimedLog:
-    """A log that counts its own processor time, that of writing included."""
+    """A log that measures its own processor time, including the writes."""
 
     def __init__(self) -> None:
-        self.used = 0.0
+        self.used_s = 0.0
         self.lines = 0
         descriptor = os.open(os.devnull, os.O_WRONLY)
         self._log = LogWriter(reactor, descriptor, time.monotonic, "a-1")
-        # Every line is written, as a budget would make the log look cheaper.
-        self._log._admit = lambda number: True  # type: ignore[method-assign]
+        # The rate limit is off, as dropped lines would make the log look cheaper.
+        self._log._within_limits = lambda number: True  # type: ignore[method-assign]
 
     def emit(self, event: Event) -> None:
         """Write one line."""
-        begun = time.process_time()
+        started_at = time.process_time()
         self._log.emit(event)
         self._log.flush()
-        self.used += time.process_time() - begun
+        self.used_s += time.process_time() - started_at
         self.lines += 1
 
 
-async def _whole() -> None:
+async def _main() -> None:
     site = await build_site([StandInWorker("i-0", slots=1_000)])
     await site.ready()
     log = TimedLog()
     site.gateway.node.sink = log
     pool = Http1Pool(reactor, site.gateway.addresses["callers"], time.monotonic)
-    begun = time.process_time()
+    started_at = time.process_time()
     for _ in range(REQUESTS.value):
         await pool.exchange(site.request(), 1.0)
-    used = time.process_time() - begun
+    used_s = time.process_time() - started_at
     pool.close()
-    each = MICROSECONDS / REQUESTS.value
+    scale_us = MICROSECONDS / REQUESTS.value
     print(
-        f"a request with stand-ins: {(used - log.used) * each:.0f} us without its log"
+        f"a request with stand-ins: {(used_s - log.used_s) * scale_us:.0f} us "
+        "without its log"
     )
-    print(f"its {log.lines / REQUESTS.value:.2f} lines: {log.used * each:.0f} us")
-    print(f"with the log / without: {used / (used - log.used):.3f}")
+    print(f"its {log.lines / REQUESTS.value:.2f} lines: {log.used_s * scale_us:.0f} us")
+    print(f"with the log / without: {used_s / (used_s - log.used_s):.3f}")
     await site.gateway.stop()
 
 
@@ -72,7 +73,7 @@
             print(result)
         reactor.callLater(0.0, reactor.stop)
 
-    reactor.callWhenRunning(lambda: Deferred.fromCoroutine(_whole()).addBoth(ended))
+    reactor.callWhenRunning(lambda: Deferred.fromCoroutine(_main()).addBoth(ended))
     reactor.run()
 
 
--- a/testing/platform/proxies.py
+++ b/testing/platform/proxies.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts and silences connections."""
+"""A loopback TCP proxy that delays, resets or drops the data of connections."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from twisted.internet.protocol import Factory
 from twisted.internet.protocol import Protocol
 
-# ``deaf`` drops what the server sends, ``mute`` what the client sends.
+# ``silence`` drops data both ways, ``deaf`` only the server's, ``mute`` only the
+# client's. ``reset`` resets the open connections once.
 MODES = ("delay", "reset", "silence", "deaf", "mute")
 DELAY_S = 0.2
 
@@ -19,19 +20,19 @@
 
     def __init__(self, proxy: Proxy, mode: str) -> None:
         self._proxy = proxy
-        self._dropped_in = mode
+        self._drop_mode = mode
         self.other: _Side | None = None
-        self._early: list[bytes] = []
+        self._buffered: list[bytes] = []
 
     def connectionMade(self) -> None:
         self._proxy.sides.add(self)
 
     def dataReceived(self, data: bytes) -> None:
         if self.other is None:
-            self._early.append(data)
+            self._buffered.append(data)
             return
         mode = self._proxy.mode
-        if mode in ("silence", self._dropped_in):
+        if mode in ("silence", self._drop_mode):
             return
         if mode == "delay":
             reactor.callLater(DELAY_S, self._send, data)
@@ -40,8 +41,8 @@
 
     def join(self, other: _Side) -> None:
         self.other = other
-        early, self._early = self._early, []
-        for data in early:
+        buffered, self._buffered = self._buffered, []
+        for data in buffered:
             self.dataReceived(data)
 
     def _send(self, data: bytes) -> None:
@@ -55,31 +56,31 @@
             other.transport.loseConnection()
 
 
-class _Onward(ClientFactory):
+class _TargetFactory(ClientFactory):
     noisy = False
 
-    def __init__(self, near: _Side, proxy: Proxy) -> None:
-        self._near = near
+    def __init__(self, client_side: _Side, proxy: Proxy) -> None:
+        self._client_side = client_side
         self._proxy = proxy
 
     def buildProtocol(self, addr: Any) -> _Side:
-        far = _Side(self._proxy, "deaf")
-        far.join(self._near)
-        made = far.connectionMade
+        server_side = _Side(self._proxy, "deaf")
+        server_side.join(self._client_side)
+        original = server_side.connectionMade
 
         def connection_made() -> None:
-            made()
-            self._near.join(far)
+            original()
+            self._client_side.join(server_side)
 
-        far.connectionMade = connection_made  # type: ignore[method-assign]
-        return far
+        server_side.connectionMade = connection_made  # type: ignore[method-assign]
+        return server_side
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self._near.transport.abortConnection()
+        self._client_side.transport.abortConnection()
 
 
 class Proxy(Factory):
-    """Passes connections on to an address, with faults as they are set."""
+    """Forwards connections to an address, with the faults of the mode that is set."""
 
     noisy = False
 
@@ -102,7 +103,7 @@
                 side.transport.abortConnection()
 
     def buildProtocol(self, addr: Any) -> _Side:
-        near = _Side(self, "mute")
+        client_side = _Side(self, "mute")
         host, port = self._target
-        reactor.connectTCP(host, port, _Onward(near, self))
-        return near
+        reactor.connectTCP(host, port, _TargetFactory(client_side, self))
+        return client_side
--- a/testing/platform/serve.py
+++ b/testing/platform/serve.py
@@ -1,4 +1,4 @@
-"""Serves one gateway on the stand-ins of the platform until Ctrl-C."""
+"""Serves a gateway with a stand-in store and workers until it is interrupted."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def serve() -> None:
-    """Start everything and print one line of JSON when it is ready."""
+    """Start all parts, and print their addresses as JSON once the gateway is ready."""
     workers = [StandInWorker(f"i-{number}") for number in range(WORKERS)]
     site = await build_site(workers)
     await site.ready()
@@ -34,7 +34,7 @@
 
 
 def main() -> None:
-    """Run the reactor."""
+    """Run until the process is interrupted."""
     load_plugins()
     install_literal_resolver(reactor)
     reactor.callWhenRunning(lambda: Deferred.fromCoroutine(serve()))
--- a/testing/platform/standins.py
+++ b/testing/platform/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's store and workers, on loopback."""
+"""Stand-ins for the platform's store and workers, on loopback."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from sycamorenotch_transport import header
 
 LOOPBACK = "127.0.0.1:0"
-PAGE = 2
+PAGE_SIZE = 2
 
 
 def listen(handler) -> Http1Server:
@@ -36,18 +36,21 @@
 
 
 class StandInStore:
-    """Objects by kind and name, with revisions, pages and watches."""
+    """A store of objects by kind and name, with revisions, pages and watches.
+
+    ``drops_watch_events`` makes it answer no watch, whatever has changed.
+    """
 
     def __init__(self) -> None:
         self.revision = 10
         self.oldest = 10
         self.down = False
-        self.deaf = False
+        self.drops_watch_events = False
         self.delay_s = 0.0
         self.objects: dict[tuple[str, str], dict] = {}
         self.changes: list[tuple[int, str, dict, bool]] = []
         self.calls: list[str] = []
-        self._waiting: list[tuple[str, int, Deferred]] = []
+        self._pending_watches: list[tuple[str, int, Deferred]] = []
         self.server = listen(self._handle)
 
     def put(self, kind: str, name: str, specification: Any) -> None:
@@ -55,11 +58,11 @@
         metadata = {"name": name, "revision": self.revision, "finalizers": []}
         item = {"metadata": metadata, "specification": specification, "status": None}
         self.objects[kind, name] = item
-        self._changed(kind, item, deleted=False)
+        self._record_change(kind, item, deleted=False)
 
     def remove(self, kind: str, name: str) -> None:
         self.revision += 1
-        self._changed(kind, self.objects.pop((kind, name)), deleted=True)
+        self._record_change(kind, self.objects.pop((kind, name)), deleted=True)
 
     def forget_history(self) -> None:
         self.oldest = self.revision + 1
@@ -67,15 +70,17 @@
         self.cut_watches()
 
     def cut_watches(self, status: int = 410) -> None:
-        waiting, self._waiting = self._waiting, []
-        for _, _, answer in waiting:
+        pending, self._pending_watches = self._pending_watches, []
+        for _, _, answer in pending:
             if not answer.called:
                 answer.callback(as_json({}, status))
 
-    def _changed(self, kind: str, item: dict, deleted: bool) -> None:
+    def _record_change(self, kind: str, item: dict, deleted: bool) -> None:
         self.changes.append((self.revision, kind, item, deleted))
-        ready = [entry for entry in self._waiting if entry[0] == kind]
-        self._waiting = [entry for entry in self._waiting if entry[0] != kind]
+        ready = [entry for entry in self._pending_watches if entry[0] == kind]
+        self._pending_watches = [
+            entry for entry in self._pending_watches if entry[0] != kind
+        ]
         for _, after, answer in ready:
             if not answer.called:
                 answer.callback(self._events(kind, after))
@@ -113,24 +118,24 @@
 
     def _list(self, kind: str, after: str) -> HttpResponse:
         names = sorted(n for k, n in self.objects if k == kind and n > after)
-        items = [self.objects[kind, name] for name in names[:PAGE]]
-        more = len(names) > PAGE
+        items = [self.objects[kind, name] for name in names[:PAGE_SIZE]]
+        more = len(names) > PAGE_SIZE
         return as_json({"items": items, "has_more": more, "at": self.revision})
 
     async def _watch(self, kind: str, after: int) -> HttpResponse:
-        if after < self.oldest and not self.deaf:
+        if after < self.oldest and not self.drops_watch_events:
             return as_json({}, 410)
         known = any(found == kind and rev > after for rev, found, _, _ in self.changes)
-        if known and not self.deaf:
+        if known and not self.drops_watch_events:
             return self._events(kind, after)
         answer: Deferred[HttpResponse] = Deferred(lambda _: None)
-        self._waiting.append((kind, after, answer))
+        self._pending_watches.append((kind, after, answer))
         return await answer
 
 
 @dataclass
 class StandInWorker:
-    """A worker that runs requests, sheds, breaks off or stays silent.
+    """A worker that runs, sheds or fails requests, or does not answer them.
 
     :param mode: ``run``, ``shed``, ``fail``, ``cut``, ``silent`` or ``stranger``.
     """
@@ -149,11 +154,11 @@
 
     def __post_init__(self) -> None:
         self.server = listen(self._handle)
-        build = self.server.buildProtocol
+        original = self.server.buildProtocol
 
         def count_and_build(address: Any) -> Any:
             self.opened += 1
-            return build(address)
+            return original(address)
 
         self.server.buildProtocol = count_and_build  # type: ignore[method-assign]
 
--- a/testing/platform/test_dialect.py
+++ b/testing/platform/test_dialect.py
@@ -1,11 +1,11 @@
-"""Tests of the platform's headers and calls."""
+"""Tests of the platform's HTTP dialect."""
 
 from __future__ import annotations
 
 import orjson
 import pytest
 
-from sycamorenotch_gateway import LookupQuestion
+from sycamorenotch_gateway import LookupQuery
 from sycamorenotch_kernel import ErrorKind
 from sycamorenotch_kernel import LoadReport
 from sycamorenotch_kernel import Ran
@@ -38,18 +38,18 @@
     return dialect.decode_call(HttpRequest("GET", "/p/2f?q=1", HEADERS)).ok
 
 
-def test_call_has_identifier_object_and_patience(call) -> None:
+def test_call_has_identifier_object_key_and_timeout(call) -> None:
     assert (call.id, call.object_key, call.patience_s) == ("9c41", "17", 3.0)
     assert (call.host, call.path, call.target) == ("h.example", "/p/2f", "/p/2f?q=1")
 
 
 @pytest.mark.parametrize("value", ["", "-1", "1.5", "abc", "٣"])
-def test_patience_is_unknown_when_malformed(dialect, value) -> None:
+def test_timeout_is_unknown_when_malformed(dialect, value) -> None:
     headers = (("Host", "h"), ("X-Remaining-Milliseconds", value))
     assert dialect.decode_call(HttpRequest("GET", "/", headers)).ok.patience_s is None
 
 
-def test_attempt_names_the_worker_and_the_time_left(dialect, call) -> None:
+def test_attempt_carries_the_worker_and_the_time_left(dialect, call) -> None:
     sent = dialect.encode_attempt(call, "i-7", 1.5)
     assert header(sent.headers, "x-expected-instance") == "i-7"
     assert 1400 <= int(header(sent.headers, "x-remaining-milliseconds")) <= 1500
@@ -59,9 +59,11 @@
     assert len(names) == len(set(names))
 
 
-def test_answer_to_another_request_does_not_belong(dialect, call) -> None:
-    assert dialect.belongs(call, HttpResponse(200, (("X-Attempt-Id", "9c41"),)))
-    assert not dialect.belongs(call, HttpResponse(200, (("X-Attempt-Id", "9c42"),)))
+def test_answer_to_another_request_does_not_match(dialect, call) -> None:
+    assert dialect.matches_request(call, HttpResponse(200, (("X-Attempt-Id", "9c41"),)))
+    assert not dialect.matches_request(
+        call, HttpResponse(200, (("X-Attempt-Id", "9c42"),))
+    )
 
 
 @pytest.mark.parametrize(
@@ -79,7 +81,7 @@
         (HttpResponse(200), Verdict.BROKEN),
     ],
 )
-def test_verdict_of_an_answer(dialect, response, verdict) -> None:
+def test_answer_is_classified_by_status_and_headers(dialect, response, verdict) -> None:
     assert dialect.decode_reply(response).verdict is verdict
 
 
@@ -108,7 +110,9 @@
         (ErrorKind.UNKNOWN_ROUTE, Ran.NO, 404),
     ],
 )
-def test_status_promises_no_more_than_is_known(dialect, kind, ran, status) -> None:
+def test_refusal_status_promises_only_what_is_known_about_the_run(
+    dialect, kind, ran, status
+) -> None:
     answer = dialect.encode_refusal("9c41", Refusal(kind, ran, "why", 0.5))
     assert answer.status == status
     assert bool(header(answer.headers, "retry-after")) == (status == 503)
@@ -117,6 +121,6 @@
 def test_lookup_is_decoded_and_encoded(dialect) -> None:
     target = "/api/resolution?name=h&region=west&zone=a"
     found = dialect.decode_lookup(HttpRequest("GET", target, ()))
-    assert found == LookupQuestion("west", "a")
+    assert found == LookupQuery("west", "a")
     answer = dialect.encode_lookup(("10.0.0.1:80",), 1.5)
     assert orjson.loads(answer.body) == {"addresses": ["10.0.0.1:80"], "ttl": "1500ms"}
--- a/testing/platform/test_explain.py
+++ b/testing/platform/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests that the logs of a gateway tell why its requests failed."""
+"""Tests that the cause of a failed request can be found in a gateway's log."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 SEED = 20
 REQUESTS = 60
-DRAWN = 20
-# The target of the users' engineers: causes of 19 in 20 failed requests.
-EXPLAINED = 19
+SAMPLED = 20
+# Required by the users: the cause of 19 in 20 failed requests.
+MIN_EXPLAINED = 19
 PATHS = ("/safe/1", "/once/1", "/load/1")
-# What the cause of a failed request says by what its workers did.
+# Text expected in the cause of a failed request, by the injected fault.
 CAUSES = {
     "shed": ("refused to run it",),
     "cut": ("was lost and may have run it", "has crashed several workers"),
@@ -24,29 +24,29 @@
     "empty": ("had no room",),
     "no route": ("has no route",),
 }
-# What an earlier failure of the workers may still do to a request.
-AFTERMATH = ("pause after failures",)
+# A worker may still be paused after the fault of an earlier request.
+LATER_EFFECTS = ("pause after failures",)
 
 
-def test_logs_tell_the_cause_of_nineteen_in_twenty_failed_requests(on_site) -> None:
+def test_log_explains_nineteen_in_twenty_failed_requests(run_on_site) -> None:
     random = Random(SEED)
     failed: list[tuple[str, str]] = []
 
-    async def one(site) -> None:
-        trouble = random.choice(sorted(CAUSES))
+    async def send_one_request(site) -> None:
+        fault = random.choice(sorted(CAUSES))
         for worker in site.workers:
-            worker.mode = trouble if trouble in ("shed", "cut", "silent") else "run"
-            worker.mode = "fail" if trouble == "fail" else worker.mode
-        if trouble == "empty":
+            worker.mode = fault if fault in ("shed", "cut", "silent") else "run"
+            worker.mode = "fail" if fault == "fail" else worker.mode
+        if fault == "empty":
             site.store.put("evacuations", "a", {})
-            await site.until(lambda: site.events("evacuation.changed"))
-        path = "/none/1" if trouble == "no route" else random.choice(PATHS)
+            await site.wait_until(lambda: site.events("evacuation.changed"))
+        path = "/none/1" if fault == "no route" else random.choice(PATHS)
         answer = await site.call(path, key=str(site.sent), patience="500")
         if answer.status != 200:
-            failed.append((f"t{site.sent}", trouble))
-        if trouble == "empty":
+            failed.append((f"t{site.sent}", fault))
+        if fault == "empty":
             site.store.remove("evacuations", "a")
-            await site.until(
+            await site.wait_until(
                 lambda: not site.events("evacuation.changed")[-1].data_centres
             )
             site.sink.events[:] = [
@@ -55,17 +55,17 @@
 
     async def scenario(site) -> None:
         for _ in range(REQUESTS):
-            await one(site)
+            await send_one_request(site)
         lines = tuple(parse_lines(_line(n, e) for n, e in enumerate(site.sink.events)))
-        drawn = random.sample(failed, DRAWN)
-        causes = [(cause_of(tell(lines, name)), trouble) for name, trouble in drawn]
-        told = [
-            any(words in cause for words in (*CAUSES[trouble], *AFTERMATH))
-            for cause, trouble in causes
+        sampled = random.sample(failed, SAMPLED)
+        causes = [(cause_of(tell(lines, name)), fault) for name, fault in sampled]
+        explained = [
+            any(words in cause for words in (*CAUSES[fault], *LATER_EFFECTS))
+            for cause, fault in causes
         ]
-        assert sum(told) >= EXPLAINED, causes
+        assert sum(explained) >= MIN_EXPLAINED, causes
 
-    on_site(scenario)
+    run_on_site(scenario)
 
 
 def _line(at: int, event) -> str:
--- a/testing/platform/test_models.py
+++ b/testing/platform/test_models.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's stored objects."""
+"""Tests of the models of the platform's stored objects."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     }
 
 
-def test_worker_entry_is_translated() -> None:
+def test_worker_entry_is_converted() -> None:
     worker = _item(Topic.WORKERS, stored(ENTRY), removed=False).value
     assert (worker.id, worker.data_centre, worker.cold_s) == ("i-1", "a", 1.5)
     assert worker.incarnation == ENTRY["born"]
@@ -81,7 +81,7 @@
         {"born": "yesterday"},
     ],
 )
-def test_malformed_entry_names_no_worker(change) -> None:
+def test_malformed_worker_entry_is_a_problem(change) -> None:
     item = _item(Topic.WORKERS, stored({**ENTRY, **change}), removed=False)
     assert item.value is None
     assert item.problem
@@ -106,7 +106,7 @@
     assert _item(Topic.EVACUATIONS, raw, removed=False).removed
 
 
-def test_configuration_is_translated() -> None:
+def test_configuration_is_converted() -> None:
     limits = {"resource_kind": "limits", "specification": {"idle_timeout": "9s"}}
     service = {
         "resource_kind": "services",
@@ -124,7 +124,7 @@
     assert (found.version, found.revision) == (3, 7)
 
 
-def test_split_is_translated() -> None:
+def test_traffic_split_is_converted() -> None:
     parts = [{"service": "s", "weight": 90}, {"service": "t", "weight": 10}]
     raw = configuration(route(traffic_split=parts))
     (first,) = _item(Topic.CONFIGURATION, raw, removed=False).value.routes
