--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -87,7 +87,7 @@
             self._suspicion.record_alive(view.entry.id)
         if reply is not None and reply.verdict is Verdict.ANSWER:
             view.succeeded(now - started_at)
-            self._suspicion.record_success(self._suspicion.signature_of(call))
+            self._suspicion.record_answered(self._suspicion.signature_of(call))
             return outcome
         self._report_failure(call, chosen, outcome, now - started_at)
         return outcome
@@ -132,7 +132,7 @@
                 dialect.encode_attempt(call, view.entry.id, remaining_s),
                 min(CONNECT_TIMEOUT_S, remaining_s),
                 lambda response: dialect.matches_request(call, response),
-                self._workers.idle_timeout_estimator(view.entry.service).bound_s(now),
+                self._workers.idle_timeout(view.entry.service).bound_s(now),
             )
         )
         return exchange.addTimeout(remaining_s + ANSWER_TRANSIT_S, self._node.reactor)
@@ -143,12 +143,14 @@
         """Record a reset if the worker no longer held the idle connection."""
         now = self._node.clock()
         service = view.entry.service
-        estimator = self._workers.idle_timeout_estimator(service)
-        if error.began or not estimator.broke_off(error.idle_s, now - started_at, now):
+        idle_timeout = self._workers.idle_timeout(service)
+        if error.began or not idle_timeout.broke_off(
+            error.idle_s, now - started_at, now
+        ):
             return
         idle_s, trusted_s = (
             round(error.idle_s or 0.0, 3),
-            round(estimator.bound_s(now), 3),
+            round(idle_timeout.bound_s(now), 3),
         )
         self._node.sink.emit(
             IdleConnectionForgotten(view.entry.id, service, idle_s, trusted_s)
--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -89,7 +89,7 @@
         self._peers = node.require(Peers)
         self._attempts = Attempts(node)
         self._suspicion = node.require(CrashSuspicion)
-        self._retry_budget = RetryAllowance(self._retry_terms)
+        self._retry_budget = RetryAllowance(self._retry_limits)
         directory = self._workers.directory
         self._choice: WorkerChoice = worker_choices.get("affinity")(
             node.settings.placement.region,
@@ -146,7 +146,7 @@
             call, route, progress, progress.started_at + limit_s
         )
 
-    def _retry_terms(self) -> RetryTerms:
+    def _retry_limits(self) -> RetryTerms:
         bounds = self._node.settings.bounds
         window_s = bounds.retry_window.total_seconds()
         return RetryTerms(bounds.retry_ratio, window_s, bounds.extra_retries)
--- a/packages/gateway/src/sycamorenotch_gateway/_gateway.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_gateway.py
@@ -36,10 +36,13 @@
         for component in self._components:
             component.start()
         settings = self.node.settings
-        place = settings.placement
+        placement = settings.placement
         self.node.sink.emit(
             GatewayStarted(
-                settings.instance, place.region, place.data_centre, settings.callers
+                settings.instance,
+                placement.region,
+                placement.data_centre,
+                settings.callers,
             )
         )
 
--- a/packages/gateway/src/sycamorenotch_gateway/_peers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_peers.py
@@ -68,7 +68,7 @@
         node.provide(Peers, self)
 
     def start(self) -> None:
-        """Announce this instance, and start to send and receive heartbeats."""
+        """Announce this instance, and start sending and receiving heartbeats."""
         host, _, port = self._relay.address.rpartition(":")
         self._port = self._node.reactor.listenUDP(
             int(port), self, host, MAX_DATAGRAM_BYTES
@@ -100,8 +100,8 @@
     @property
     def ready(self) -> bool:
         """Whether this instance takes requests."""
-        known = self._routes.table is not None and self._workers.complete
-        return known and not self._node.stopping
+        initialized = self._routes.table is not None and self._workers.complete
+        return initialized and not self._node.stopping
 
     @property
     def live_count(self) -> int:
--- a/packages/gateway/src/sycamorenotch_gateway/_reload.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_reload.py
@@ -35,7 +35,7 @@
         self._loop = node.background(self._turn)
 
     def start(self) -> None:
-        """Start to check the file for changes."""
+        """Start checking the file for changes."""
         self._next_check_at = self._node.clock() + CHECK_INTERVAL.total_seconds()
         self._loop.start(CHECK_INTERVAL)
 
--- a/packages/gateway/src/sycamorenotch_gateway/_suspicion.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_suspicion.py
@@ -79,7 +79,7 @@
         retry_after_s = remaining.total_seconds()
         return Refusal(ErrorKind.QUARANTINED, Ran.NO, detail, retry_after_s)
 
-    def record_success(self, signature: Signature) -> None:
+    def record_answered(self, signature: Signature) -> None:
         """Record that a worker has answered the request."""
         self._quarantine.record_answer(signature)
 
--- a/packages/gateway/src/sycamorenotch_gateway/_workers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_workers.py
@@ -50,7 +50,7 @@
             lambda data_centre: node.settings.placement.region_of(data_centre)
         )
         self._pools: dict[str, Http1Pool] = {}
-        self._idle_timeout_estimators: dict[str, IdleTrust] = {}
+        self._idle_timeouts: dict[str, IdleTrust] = {}
         self._follower = Follower(node, Topic.WORKERS, self._apply_batch)
         self._evacuations = Follower(node, Topic.EVACUATIONS, self._apply_evacuations)
         self._evacuated_data_centres: set[str] = set()
@@ -88,9 +88,9 @@
             )
         return self._pools[name]
 
-    def idle_timeout_estimator(self, service: str) -> IdleTrust:
-        """Return the estimator of the idle timeout of a service's workers."""
-        return self._idle_timeout_estimators.setdefault(service, IdleTrust())
+    def idle_timeout(self, service: str) -> IdleTrust:
+        """Return the learned idle timeout of a service's workers."""
+        return self._idle_timeouts.setdefault(service, IdleTrust())
 
     def remove_reassigned(self, view: WorkerView) -> None:
         """Remove a worker whose address now belongs to another one."""
--- a/testing/gateway/test_settings.py
+++ b/testing/gateway/test_settings.py
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    ("field", "value", "place"),
+    ("field", "value", "location"),
     [
         ("listen.frontend", "nowhere", "[listen] callers"),
         ("bounds.grace", "6", "[bounds] grace"),
@@ -73,9 +73,9 @@
     ],
 )
 def test_invalid_value_is_reported_with_its_section_and_option(
-    field, value, place
+    field, value, location
 ) -> None:
-    with pytest.raises(InvalidFileError, match=re.escape(place)):
+    with pytest.raises(InvalidFileError, match=re.escape(location)):
         parse_gateway_settings(render(**{field: value}))
 
 
--- a/testing/platform/fault_soak.py
+++ b/testing/platform/fault_soak.py
@@ -244,7 +244,7 @@
             "worker-restart": self.restart_worker,
             "store-down": self.stop_store,
             "store-slow": self.slow_store,
-            "store-history": self.store.forget_history,
+            "store-history": self.store.discard_history,
             "configuration": self.change_configuration,
             "evacuation": self.evacuate,
         }
--- a/testing/platform/proxies.py
+++ b/testing/platform/proxies.py
@@ -93,8 +93,8 @@
 
     @property
     def address(self) -> str:
-        place = self._port.getHost()
-        return f"{place.host}:{place.port}"
+        endpoint = self._port.getHost()
+        return f"{endpoint.host}:{endpoint.port}"
 
     def set_mode(self, mode: str) -> None:
         self.mode = mode
--- a/testing/platform/standins.py
+++ b/testing/platform/standins.py
@@ -64,7 +64,7 @@
         self.revision += 1
         self._record_change(kind, self.objects.pop((kind, name)), deleted=True)
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         self.oldest = self.revision + 1
         self.revision += 1
         self.cut_watches()
--- a/testing/platform/test_topics.py
+++ b/testing/platform/test_topics.py
@@ -38,7 +38,7 @@
             "metadata": {"name": "i-9", "revision": site.store.revision + 1},
             "specification": worker.entry,
         }
-        site.store.forget_history()
+        site.store.discard_history()
         await site.wait_until(lambda: len(site.events("worker.changed")) == 3)
 
     run_on_site(scenario)
