--- a/packages/gateway/src/sycamorenotch_gateway/_relay.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_relay.py
@@ -31,7 +31,7 @@
 from sycamorenotch_transport import HttpRequest
 from sycamorenotch_transport import HttpResponse
 
-TOPIC_PATH_PREFIX = "/v1/topics/"
+TOPICS_PATH = "/v1/topics/"
 ACCEPT_BACKLOG = 64
 # A peer in another region answers within a few round trips.
 CONNECT_TIMEOUT_S = 0.5
@@ -128,7 +128,7 @@
     async def _fetch(self, peer: PeerEntry, topic: Topic) -> Result[Batch, str]:
         pool = Http1Pool(self._node.reactor, peer.gossip, self._node.clock)
         request = HttpRequest(
-            "GET", TOPIC_PATH_PREFIX + topic.value, (("Host", peer.gossip),)
+            "GET", TOPICS_PATH + topic.value, (("Host", peer.gossip),)
         )
         exchange: Deferred[HttpResponse] = Deferred.fromCoroutine(
             pool.exchange(request, CONNECT_TIMEOUT_S)
@@ -148,7 +148,7 @@
             return Error(f"the peer's answer cannot be read: {exc.error_count()}")
 
     async def _serve(self, request: HttpRequest) -> HttpResponse:
-        name = request.target.removeprefix(TOPIC_PATH_PREFIX)
+        name = request.target.removeprefix(TOPICS_PATH)
         found = next((t for t in self._snapshots if t.value == name), None)
         batch = None if found is None else self._snapshots[found]()
         if found is None or batch is None:
