--- a/testing/platform/conftest.py
+++ b/testing/platform/conftest.py
@@ -98,7 +98,7 @@
             if condition():
                 return
             await deferLater(reactor, POLL_INTERVAL_S, lambda: None)
-        raise AssertionError("the condition did not come true")
+        raise AssertionError("timed out before the condition became true")
 
     async def ready(self) -> None:
         async def answered() -> bool:
