--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions, kept apart from input, output and the encoding of messages."""
+"""Policies: decisions without I/O or encoding of messages."""
 
 from __future__ import annotations
 
--- a/packages/policies/src/sycamorenotch_policies/_admission.py
+++ b/packages/policies/src/sycamorenotch_policies/_admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests to a service by rank, floor and deadline."""
+"""Admission control of a service by rank, floor and deadline."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from sycamorenotch_policies._concurrency import ConcurrencyLimit
 from sycamorenotch_policies._outcomes import Outcome
 
-MAXIMUM_QUEUED = 1024
-QUEUE_SHARE = 0.5
-MINIMUM_SHARE = 0.1
+MAX_QUEUED_PER_RANK = 1024
+MAX_WAIT_SHARE = 0.5
+MIN_CAPACITY_SHARE = 0.1
 LATENCY_WEIGHT = 0.1
-CREDIT_LIMIT = 4.0
-MINIMUM_RETRY_AFTER = timedelta(seconds=1)
-MAXIMUM_RETRY_AFTER = timedelta(seconds=30)
+MAX_CREDIT = 4.0
+MIN_RETRY_AFTER = timedelta(seconds=1)
+MAX_RETRY_AFTER = timedelta(seconds=30)
 
 
 @final
@@ -36,7 +36,7 @@
     """A request that asks for a slot.
 
     :param id: unique among the requests of the service.
-    :param deadline: moment on the monotonic clock.
+    :param deadline: monotonic time.
     """
 
     id: str
@@ -47,7 +47,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request holds a slot until it is released."""
+    """The request may run and holds a slot until it is released."""
 
     ticket: Ticket
 
@@ -55,7 +55,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """The request waits; a later decision names its ticket."""
+    """The request is queued; a later decision on its ticket follows."""
 
     ticket: Ticket
 
@@ -63,7 +63,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request was refused before it ran."""
+    """The request was refused and did not run."""
 
     ticket: Ticket
     failure: Failure
@@ -76,10 +76,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class AdmissionSetup:
-    """What an admission discipline is built from.
+    """Dependencies and parameters of an admission discipline.
 
-    :param slots: the instance's grant for the service.
-    :param service_time: usual time of one request in a slot.
+    :param slots: the instance's grant for the service, in concurrent requests.
+    :param service_time: expected service time of one request.
     """
 
     slots: int
@@ -98,29 +98,29 @@
     def release(
         self, ticket: Ticket, latency: timedelta, outcome: Outcome, now: timedelta
     ) -> AdmissionDecisions:
-        """Free the slot of an admitted request; decide on queued ones.
+        """Free the slot of an admitted request and decide on queued ones.
 
         :param latency: time that the request spent at its upstream.
         """
         ...
 
     def cancel(self, ticket: Ticket) -> None:
-        """Forget a queued request whose caller has gone."""
+        """Remove a queued request whose caller has disconnected."""
         ...
 
     def expire(self, now: timedelta) -> AdmissionDecisions:
-        """Refuse the queued requests that can no longer be served in time."""
+        """Refuse the queued requests that can no longer meet their deadline."""
         ...
 
     def resize(self, slots: int, now: timedelta) -> AdmissionDecisions:
-        """Replace the grant; decide on queued requests."""
+        """Replace the grant and decide on queued requests."""
         ...
 
 
 @admission_disciplines.register("unlimited")
 @final
 class UnlimitedAdmission:
-    """Admits every request; a baseline for measurements."""
+    """Admits every request; a baseline for comparison."""
 
     def __init__(self, setup: AdmissionSetup) -> None:
         self.running = 0
@@ -138,27 +138,27 @@
         return ()
 
     def cancel(self, ticket: Ticket) -> None:
-        """Do nothing; no request waits."""
+        """Do nothing; no request is queued."""
 
     def expire(self, now: timedelta) -> AdmissionDecisions:
-        """Decide nothing; no request waits."""
+        """Return no decisions; no request is queued."""
         return ()
 
     def resize(self, slots: int, now: timedelta) -> AdmissionDecisions:
-        """Decide nothing; the grant is not used."""
+        """Return no decisions; the grant is not used."""
         return ()
 
 
 @admission_disciplines.register("ranked")
 @final
 class RankedAdmission:
-    """Serves the urgent rank first and keeps a floor for every rank.
+    """Strict priority by rank with a guaranteed minimum share (floor) per rank.
 
-    A free slot is never withheld. While requests wait, each slot that becomes
-    free adds the floor of each waiting rank to that rank's credit. A rank with
-    a whole credit goes first and pays it; otherwise the most urgent rank
-    goes. So each waiting rank starts at least its floor's share of requests,
-    for any number of slots.
+    A free slot is never withheld. While requests are queued, each free slot adds
+    the floor of each waiting rank to that rank's credit. A rank with at least
+    one credit goes first and spends it; otherwise the most urgent rank goes.
+    So each waiting rank gets at least its floor's share of the starts, for any
+    number of slots.
     """
 
     def __init__(self, setup: AdmissionSetup) -> None:
@@ -176,12 +176,12 @@
 
     @property
     def limit(self) -> int:
-        """The number of requests that may run now."""
+        """The number of requests that may run at once."""
         return self._limit.limit
 
     @property
     def queued(self) -> int:
-        """The number of requests that wait."""
+        """The number of queued requests."""
         return sum(map(len, self._queues.values()))
 
     def offer(self, ticket: Ticket, now: timedelta) -> AdmissionDecision:
@@ -189,15 +189,15 @@
         if self._total_running < self.limit and not self.queued:
             return self._start(ticket, now)
         wait = self._expected_wait(ticket.rank)
-        patience = ticket.deadline - now
-        if wait is None or len(self._queues[ticket.rank]) >= MAXIMUM_QUEUED:
+        time_left = ticket.deadline - now
+        if wait is None or len(self._queues[ticket.rank]) >= MAX_QUEUED_PER_RANK:
             detail = "the queue of the rank is full"
             return _refuse(ticket, ErrorKind.OVERLOADED, detail, wait)
-        if wait + self._latency > patience:
-            detail = "the wait would last beyond the deadline"
+        if wait + self._latency > time_left:
+            detail = "the expected wait exceeds the deadline"
             return _refuse(ticket, ErrorKind.DEADLINE_HOPELESS, detail, wait)
-        if wait > patience * QUEUE_SHARE:
-            detail = "the wait would use too much of the time limit"
+        if wait > time_left * MAX_WAIT_SHARE:
+            detail = "the expected wait would use too much of the time limit"
             return _refuse(ticket, ErrorKind.OVERLOADED, detail, wait)
         self._queues[ticket.rank][ticket.id] = ticket
         return Queued(ticket)
@@ -205,37 +205,37 @@
     def release(
         self, ticket: Ticket, latency: timedelta, outcome: Outcome, now: timedelta
     ) -> AdmissionDecisions:
-        """Free the slot of an admitted request; decide on queued ones."""
+        """Free the slot of an admitted request and decide on queued ones."""
         self.running[ticket.rank] -= 1
         self._total_running -= 1
         self._limit.observe(latency, outcome)
-        held = now - self._started.pop(ticket.id)
+        held_for = now - self._started.pop(ticket.id)
         if outcome is Outcome.ANSWERED:
-            # A slot is held during the claim too, not only at the upstream.
-            change = held.total_seconds() - self._latency_s
+            # The slot is also held during the claim, not only at the upstream.
+            change = held_for.total_seconds() - self._latency_s
             self._latency_s += LATENCY_WEIGHT * change
-        return self._fill(now)
+        return self._admit_queued(now)
 
     def cancel(self, ticket: Ticket) -> None:
-        """Forget a queued request whose caller has gone."""
+        """Remove a queued request whose caller has disconnected."""
         self._queues[ticket.rank].pop(ticket.id, None)
 
     def expire(self, now: timedelta) -> AdmissionDecisions:
-        """Refuse the queued requests that can no longer be served in time."""
-        hopeless = [
+        """Refuse the queued requests that can no longer meet their deadline."""
+        late = [
             ticket
             for queue in self._queues.values()
             for ticket in queue.values()
-            if self._is_hopeless(ticket, now)
+            if self._would_miss_deadline(ticket, now)
         ]
-        for ticket in hopeless:
+        for ticket in late:
             del self._queues[ticket.rank][ticket.id]
-        return (*map(self._refuse_hopeless, hopeless), *self._fill(now))
+        return (*map(self._refuse_late, late), *self._admit_queued(now))
 
     def resize(self, slots: int, now: timedelta) -> AdmissionDecisions:
-        """Replace the grant; decide on queued requests."""
+        """Replace the grant and decide on queued requests."""
         self._limit.resize(slots)
-        return self._fill(now)
+        return self._admit_queued(now)
 
     @property
     def _latency(self) -> timedelta:
@@ -247,44 +247,44 @@
         self._started[ticket.id] = now
         return Admitted(ticket)
 
-    def _fill(self, now: timedelta) -> AdmissionDecisions:
+    def _admit_queued(self, now: timedelta) -> AdmissionDecisions:
         return tuple(self._decide_queued(now))
 
     def _decide_queued(self, now: timedelta) -> Iterator[AdmissionDecision]:
         while self._total_running < self.limit:
-            yield from self._drop_hopeless_heads(now)
+            yield from self._refuse_late_heads(now)
             waiting = [rank for rank, queue in self._queues.items() if queue]
             if not waiting:
                 return
             rank = self._next_rank(waiting)
             _, ticket = self._queues[rank].popitem(last=False)
-            if self._keeps_floors(rank, waiting):
+            if self._floors_hold(rank, waiting):
                 yield self._start(ticket, now)
             else:
-                detail = "the floor of another rank would be broken"
+                detail = "the guaranteed share of another rank would be violated"
                 yield _refuse(ticket, ErrorKind.INVARIANT, detail, None)
 
-    def _drop_hopeless_heads(self, now: timedelta) -> Iterator[AdmissionDecision]:
+    def _refuse_late_heads(self, now: timedelta) -> Iterator[AdmissionDecision]:
         for queue in self._queues.values():
-            while queue and self._is_hopeless(next(iter(queue.values())), now):
+            while queue and self._would_miss_deadline(next(iter(queue.values())), now):
                 _, ticket = queue.popitem(last=False)
-                yield self._refuse_hopeless(ticket)
+                yield self._refuse_late(ticket)
 
     def _next_rank(self, waiting: list[Rank]) -> Rank:
         for rank in self._queues:
-            # A rank without waiting requests gives up the credit it has saved.
+            # A rank without queued requests loses its credit.
             earned = self._credits[rank] + self._ranks[rank].floor
             self._credits[rank] = earned if rank in waiting else 0.0
-        due = [rank for rank in waiting if self._credits[rank] >= 1]
-        chosen = due[0] if due else waiting[0]
+        with_credit = [rank for rank in waiting if self._credits[rank] >= 1]
+        chosen = with_credit[0] if with_credit else waiting[0]
         self._credits[chosen] = max(0.0, self._credits[chosen] - 1)
         return chosen
 
-    def _keeps_floors(self, chosen: Rank, waiting: list[Rank]) -> bool:
-        owed = {rank.label: round(self._credits[rank], 3) for rank in waiting}
-        kept = all(credit < CREDIT_LIMIT for credit in owed.values())
-        detail = f"slot given to {chosen.label}; credits {owed}"
-        return self._invariants.holds(Invariant.I10, kept, detail)
+    def _floors_hold(self, chosen: Rank, waiting: list[Rank]) -> bool:
+        credits = {rank.label: round(self._credits[rank], 3) for rank in waiting}
+        floors_hold = all(credit < MAX_CREDIT for credit in credits.values())
+        detail = f"slot given to {chosen.label}; credits {credits}"
+        return self._invariants.holds(Invariant.I10, floors_hold, detail)
 
     def _expected_wait(self, rank: Rank) -> timedelta | None:
         if not self.limit:
@@ -294,27 +294,27 @@
         own = len(self._queues[rank]) + 1
         floor = self._ranks[rank].floor
         starts = min(ahead, own / floor) if floor else ahead
-        # The floors of the less urgent ranks slow down those before them.
-        below = sum(
+        # The floors of less urgent ranks take capacity from this rank.
+        lower_floors = sum(
             self._ranks[other].floor
             for other, queue in self._queues.items()
             if other > rank and queue
         )
-        slowed = starts / max(1 - below, MINIMUM_SHARE)
-        return timedelta(seconds=slowed * per_start_s)
+        effective_starts = starts / max(1 - lower_floors, MIN_CAPACITY_SHARE)
+        return timedelta(seconds=effective_starts * per_start_s)
 
-    def _is_hopeless(self, ticket: Ticket, now: timedelta) -> bool:
+    def _would_miss_deadline(self, ticket: Ticket, now: timedelta) -> bool:
         return now + self._latency > ticket.deadline
 
-    def _refuse_hopeless(self, ticket: Ticket) -> Refused:
+    def _refuse_late(self, ticket: Ticket) -> Refused:
         wait = self._expected_wait(ticket.rank)
-        detail = "the request waited until its deadline was out of reach"
+        detail = "the request was queued until it could no longer meet its deadline"
         return _refuse(ticket, ErrorKind.DEADLINE_HOPELESS, detail, wait)
 
 
 def _refuse(
     ticket: Ticket, kind: ErrorKind, detail: str, wait: timedelta | None
 ) -> Refused:
-    later = MAXIMUM_RETRY_AFTER if wait is None else wait
-    retry_after = min(max(later, MINIMUM_RETRY_AFTER), MAXIMUM_RETRY_AFTER)
+    delay = MAX_RETRY_AFTER if wait is None else wait
+    retry_after = min(max(delay, MIN_RETRY_AFTER), MAX_RETRY_AFTER)
     return Refused(ticket, Failure(kind, detail, Ran.NO, retry_after))
--- a/packages/policies/src/sycamorenotch_policies/_burn.py
+++ b/packages/policies/src/sycamorenotch_policies/_burn.py
@@ -1,4 +1,4 @@
-"""Counts of good and bad requests in sliding windows of bounded memory."""
+"""Counts of good and bad requests in sliding windows, in bounded memory."""
 
 from __future__ import annotations
 
@@ -11,30 +11,33 @@
 
 FINE_STEP = timedelta(minutes=1)
 COARSE_STEP = timedelta(minutes=15)
-FINE_LIMIT = timedelta(hours=1)
-COARSE_LIMIT = timedelta(days=3)
+FINE_WINDOW = timedelta(hours=1)
+COARSE_WINDOW = timedelta(days=3)
 
-EMPTY = -1
+EMPTY_SLOT = -1
 
 
 @final
 class CountRing:
-    """Counts for each step of time, in a ring of packed arrays.
+    """Ring buffer of counts, one slot for each step of time.
 
-    :param step: length of a step; a window ends at the present step.
-    :param limit: longest window that can be asked for.
+    :param step: length of a step; a window ends with the current step.
+    :param limit: longest window that can be queried.
     """
 
     def __init__(self, step: timedelta, limit: timedelta) -> None:
         self._step = step
         self._size = limit // step
-        self._epochs = array("q", [EMPTY]) * self._size
+        self._epochs = array("q", [EMPTY_SLOT]) * self._size
         self._total = array("L", [0]) * self._size
         self._failed = array("L", [0]) * self._size
         self._slow = array("L", [0]) * self._size
 
     def add(self, now: timedelta, counts: BurnCounts) -> None:
-        """Count requests at a moment on the monotonic clock."""
+        """Add the counts of requests that ended now.
+
+        :param now: monotonic time.
+        """
         epoch = now // self._step
         slot = epoch % self._size
         if self._epochs[slot] != epoch:
@@ -45,7 +48,10 @@
         self._slow[slot] += counts.slow
 
     def counts(self, now: timedelta, length: timedelta) -> BurnCounts:
-        """Return the counts of the window that ends now."""
+        """Return the counts of the window that ends now.
+
+        :param length: length of the window, at most the limit of the ring.
+        """
         last = now // self._step
         first = last - length // self._step
         slots = [
@@ -60,14 +66,17 @@
 
 @final
 class WindowedCounts:
-    """Counts of one objective over every window."""
+    """Counts of one service level objective over every burn rate window."""
 
     def __init__(self) -> None:
-        self._fine = CountRing(FINE_STEP, FINE_LIMIT)
-        self._coarse = CountRing(COARSE_STEP, COARSE_LIMIT)
+        self._fine = CountRing(FINE_STEP, FINE_WINDOW)
+        self._coarse = CountRing(COARSE_STEP, COARSE_WINDOW)
 
     def add(self, now: timedelta, counts: BurnCounts) -> None:
-        """Count requests at a moment on the monotonic clock."""
+        """Add the counts of requests that ended now.
+
+        :param now: monotonic time.
+        """
         self._fine.add(now, counts)
         self._coarse.add(now, counts)
 
@@ -79,4 +88,4 @@
         }
 
     def _ring(self, length: timedelta) -> CountRing:
-        return self._fine if length <= FINE_LIMIT else self._coarse
+        return self._fine if length <= FINE_WINDOW else self._coarse
--- a/packages/policies/src/sycamorenotch_policies/_choice_events.py
+++ b/packages/policies/src/sycamorenotch_policies/_choice_events.py
@@ -1,4 +1,4 @@
-"""Events about the choice of an upstream worker."""
+"""Events of outlier ejection and of load reports of upstream workers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LoadReportContradicted(Event):
-    """A load report disagrees with observed outcomes and loses weight."""
+    """A load report contradicts observed outcomes, so its weight is reduced."""
 
     worker: str
     trust: float
@@ -24,7 +24,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class WorkerEjected(Event):
-    """A failing worker gets no new work until a probe succeeds."""
+    """A failing worker is ejected and gets no requests until a probe succeeds."""
 
     worker: str
     seconds: float
@@ -35,7 +35,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class EjectionBounded(Event):
-    """A failing worker stays in use because too many are ejected already."""
+    """A failing worker is not ejected because the limit on ejections is reached."""
 
     worker: str
     ejected: int
@@ -46,7 +46,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class WorkerProbing(Event):
-    """An ejected worker gets one request at a time until one is answered."""
+    """An ejected worker is probed with one request at a time until one succeeds."""
 
     worker: str
 
@@ -55,7 +55,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class WorkerReadmitted(Event):
-    """A worker that was ejected or leaving is ramped up again."""
+    """A worker that was ejected or leaving is usable again and ramps up."""
 
     worker: str
 
@@ -64,6 +64,6 @@
 @final
 @dataclass(frozen=True, slots=True)
 class WorkerLeaving(Event):
-    """A worker is leaving and gets no new work from this instance."""
+    """A worker is leaving and gets no new requests from this instance."""
 
     worker: str
--- a/packages/policies/src/sycamorenotch_policies/_claim_collection.py
+++ b/packages/policies/src/sycamorenotch_policies/_claim_collection.py
@@ -1,4 +1,4 @@
-"""Which claims are past their lifetime."""
+"""Decides which claims have expired and may be deleted."""
 
 from __future__ import annotations
 
@@ -14,29 +14,31 @@
 
 @final
 class ClaimExpiry:
-    """Judges claims by two clocks, so that one wrong clock removes none.
+    """Checks claims against two clocks, so that one wrong clock deletes none.
 
-    Besides this instance's clock, a claim that another instance created after
-    the expiry has to show that the time has passed.
+    A claim has expired only if both the clock of this instance and the creation
+    time of a claim by another instance are past its expiry.
 
-    :param instance: this instance.
+    :param instance: name of this instance.
     """
 
     def __init__(self, instance: str) -> None:
         self._instance = instance
-        self._witness: datetime | None = None
+        self._latest_created: datetime | None = None
 
     def observe(self, claims: Iterable[Claim]) -> None:
-        """Note when other instances created their claims."""
-        created = (c.created for c in claims if c.instance != self._instance)
-        known = () if self._witness is None else (self._witness,)
-        self._witness = max((*created, *known), default=None)
+        """Record the latest creation time among the claims of other instances."""
+        created = (
+            claim.created for claim in claims if claim.instance != self._instance
+        )
+        previous = () if self._latest_created is None else (self._latest_created,)
+        self._latest_created = max((*created, *previous), default=None)
 
     def is_over(self, claim: Claim, now: datetime) -> bool:
-        """Return whether a claim may be removed.
+        """Return whether a claim has expired and may be deleted.
 
         :param now: wall clock time of this instance.
         """
-        if self._witness is None:
+        if self._latest_created is None:
             return False
-        return claim.expires + EXPIRY_GRACE < min(now, self._witness)
+        return claim.expires + EXPIRY_GRACE < min(now, self._latest_created)
--- a/packages/policies/src/sycamorenotch_policies/_claim_life.py
+++ b/packages/policies/src/sycamorenotch_policies/_claim_life.py
@@ -1,4 +1,4 @@
-"""The life of one attempt, as a state machine."""
+"""State machine of one attempt to run a request under an idempotency key."""
 
 from __future__ import annotations
 
@@ -11,53 +11,53 @@
 
 @final
 @dataclass(slots=True)
-class LifeRecord:
-    """What has happened in the life of an attempt.
+class AttemptRecord:
+    """Facts about an attempt that the state machine keeps up to date.
 
-    :param dispatched: whether the request was handed to the later stages.
+    :param dispatched: whether the request was passed to the later stages.
     :param may_have_run: whether an execution cannot be ruled out.
     :param may_be_written: whether a claim of the attempt may be in the store,
         now or later.
-    :param rival: whether another attempt for the key may have run.
+    :param other_may_have_run: whether another attempt for the key may have run.
     :param closed: whether the caller has been answered.
     """
 
     dispatched: bool = False
     may_have_run: bool = False
     may_be_written: bool = False
-    rival: bool = False
+    other_may_have_run: bool = False
     closed: bool = False
 
 
-class ClaimLife(Protocol):
-    """Events in the life of an attempt; each is legal in some states only."""
+class AttemptLifecycle(Protocol):
+    """Inputs of the state machine; each is valid in some states only."""
 
     def write(self) -> None:
-        """Send a write of the attempt's own claim."""
+        """Start a write of the attempt's own claim."""
 
-    def lose(self) -> None:
-        """Learn that the answer to a write was lost."""
+    def mark_write_unknown(self) -> None:
+        """Record a write with an unknown outcome."""
 
-    def reject(self) -> None:
-        """Learn that no write of the attempt took effect or ever will."""
+    def reject_write(self) -> None:
+        """Record that no write of the attempt took effect or ever will."""
 
-    def hold(self) -> None:
-        """Learn that the attempt holds the claim."""
+    def hold_claim(self) -> None:
+        """Record that the attempt holds the claim."""
 
     def dispatch(self) -> None:
-        """Hand the request on."""
+        """Pass the request to the later stages."""
 
-    def rule_out(self) -> None:
-        """Learn that the request did not run and is not being sent."""
+    def mark_not_run(self) -> None:
+        """Record that the request did not run and is not being sent."""
 
     def end(self) -> None:
-        """Learn the answer, or that it will never be known."""
+        """Record the answer, or that the outcome stays unknown."""
 
     def close(self) -> None:
         """Answer the caller."""
 
 
-_builder = TypeMachineBuilder(ClaimLife, LifeRecord)
+_builder = TypeMachineBuilder(AttemptLifecycle, AttemptRecord)
 
 _unclaimed = _builder.state("unclaimed")
 _claiming = _builder.state("claiming")
@@ -67,53 +67,53 @@
 _closed = _builder.state("closed")
 
 
-@_unclaimed.upon(ClaimLife.write).to(_claiming)
-@_claiming.upon(ClaimLife.write).loop()
-def _write(life: ClaimLife, record: LifeRecord) -> None:
-    """Keep the record until the answer of the store."""
+@_unclaimed.upon(AttemptLifecycle.write).to(_claiming)
+@_claiming.upon(AttemptLifecycle.write).loop()
+def _write(lifecycle: AttemptLifecycle, record: AttemptRecord) -> None:
+    """Leave the record unchanged until the store answers."""
 
 
-@_claiming.upon(ClaimLife.lose).loop()
-def _lose(life: ClaimLife, record: LifeRecord) -> None:
+@_claiming.upon(AttemptLifecycle.mark_write_unknown).loop()
+def _mark_write_unknown(lifecycle: AttemptLifecycle, record: AttemptRecord) -> None:
     record.may_be_written = True
 
 
-@_claiming.upon(ClaimLife.reject).to(_unclaimed)
-@_unclaimed.upon(ClaimLife.reject).loop()
-def _reject(life: ClaimLife, record: LifeRecord) -> None:
+@_claiming.upon(AttemptLifecycle.reject_write).to(_unclaimed)
+@_unclaimed.upon(AttemptLifecycle.reject_write).loop()
+def _reject_write(lifecycle: AttemptLifecycle, record: AttemptRecord) -> None:
     record.may_be_written = False
 
 
-@_claiming.upon(ClaimLife.hold).to(_held)
-def _hold(life: ClaimLife, record: LifeRecord) -> None:
+@_claiming.upon(AttemptLifecycle.hold_claim).to(_held)
+def _hold_claim(lifecycle: AttemptLifecycle, record: AttemptRecord) -> None:
     record.may_be_written = True
-    record.rival = False
+    record.other_may_have_run = False
 
 
-# There is one way into the dispatched state and none back to the held state,
-# so that an attempt hands its request on at most once.
-@_held.upon(ClaimLife.dispatch).to(_dispatched)
-def _dispatch(life: ClaimLife, record: LifeRecord) -> None:
+# The dispatched state has one incoming transition and none back to the held
+# state, so that an attempt dispatches its request at most once.
+@_held.upon(AttemptLifecycle.dispatch).to(_dispatched)
+def _dispatch(lifecycle: AttemptLifecycle, record: AttemptRecord) -> None:
     record.dispatched = True
     record.may_have_run = True
 
 
-@_dispatched.upon(ClaimLife.rule_out).to(_ended)
-def _rule_out(life: ClaimLife, record: LifeRecord) -> None:
+@_dispatched.upon(AttemptLifecycle.mark_not_run).to(_ended)
+def _mark_not_run(lifecycle: AttemptLifecycle, record: AttemptRecord) -> None:
     record.may_have_run = False
 
 
-@_dispatched.upon(ClaimLife.end).to(_ended)
-def _end(life: ClaimLife, record: LifeRecord) -> None:
-    """Keep the record; the request may have run."""
+@_dispatched.upon(AttemptLifecycle.end).to(_ended)
+def _end(lifecycle: AttemptLifecycle, record: AttemptRecord) -> None:
+    """Leave the record unchanged; the request may have run."""
 
 
-@_unclaimed.upon(ClaimLife.close).to(_closed)
-@_claiming.upon(ClaimLife.close).to(_closed)
-@_held.upon(ClaimLife.close).to(_closed)
-@_ended.upon(ClaimLife.close).to(_closed)
-def _close(life: ClaimLife, record: LifeRecord) -> None:
+@_unclaimed.upon(AttemptLifecycle.close).to(_closed)
+@_claiming.upon(AttemptLifecycle.close).to(_closed)
+@_held.upon(AttemptLifecycle.close).to(_closed)
+@_ended.upon(AttemptLifecycle.close).to(_closed)
+def _close(lifecycle: AttemptLifecycle, record: AttemptRecord) -> None:
     record.closed = True
 
 
-new_claim_life = _builder.build()
+new_lifecycle = _builder.build()
--- a/packages/policies/src/sycamorenotch_policies/_claim_messages.py
+++ b/packages/policies/src/sycamorenotch_policies/_claim_messages.py
@@ -23,7 +23,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimUnreadable:
-    """The store holds a claim that this program cannot decode."""
+    """The store holds a claim that cannot be decoded."""
 
     detail: str
 
@@ -37,7 +37,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimWritten:
-    """The write of the attempt's own claim took effect."""
+    """The attempt's own claim was written."""
 
     version: Version
 
@@ -45,13 +45,13 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimConflict:
-    """The write did not take effect, and the winner is not known yet."""
+    """The write conflicted with another claim, which has not been read yet."""
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimWriteLost:
-    """The write may have taken effect, now or later."""
+    """The outcome of the write is unknown; it may still take effect."""
 
     detail: str
 
@@ -59,7 +59,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimStoreFailed:
-    """The store call did not take effect."""
+    """The store call failed without any effect."""
 
     detail: str
 
@@ -73,7 +73,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class DispatchEnded:
-    """The later stages have returned and will send nothing more."""
+    """The later stages have returned and send nothing more upstream."""
 
     result: CallResult
 
@@ -112,7 +112,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class WaitForClaim:
-    """Wait before the next step."""
+    """Wait for a delay, then continue with :class:`ClaimWaited`."""
 
     delay: timedelta
 
@@ -120,7 +120,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class DispatchCall:
-    """Hand the request to the later stages, at once."""
+    """Pass the request to the later stages without delay."""
 
 
 @final
@@ -128,8 +128,9 @@
 class FinishCall:
     """Answer the caller.
 
-    :param settle: last state of the attempt's claim, to be written first.
-    :param expected: version of the claim to replace; none if it is not known
+    :param settle: final state of the attempt's claim, to be written before the
+        answer; none if there is nothing to write.
+    :param expected: version of the claim to replace; none if it is unknown
         whether the claim was written.
     """
 
--- a/packages/policies/src/sycamorenotch_policies/_claim_protocol.py
+++ b/packages/policies/src/sycamorenotch_policies/_claim_protocol.py
@@ -1,4 +1,4 @@
-"""The claim protocol: typed inputs in, typed commands out."""
+"""Claim protocol as a state machine without I/O: typed inputs, typed commands."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from sycamorenotch_kernel import Ran
 from sycamorenotch_kernel import Version
 from sycamorenotch_kernel import claim_steps
-from sycamorenotch_policies._claim_life import LifeRecord
-from sycamorenotch_policies._claim_life import new_claim_life
+from sycamorenotch_policies._claim_life import AttemptRecord
+from sycamorenotch_policies._claim_life import new_lifecycle
 from sycamorenotch_policies._claim_messages import ClaimCommand
 from sycamorenotch_policies._claim_messages import ClaimConflict
 from sycamorenotch_policies._claim_messages import ClaimFound
@@ -47,7 +47,7 @@
 
 
 class ClaimStep(Protocol):
-    """Decides what follows one kind of input."""
+    """Handler of one kind of input."""
 
     def __call__(
         self, protocol: ClaimProtocol, event: ClaimInput, now: Moment
@@ -60,15 +60,15 @@
 class ClaimProtocol:
     """One attempt to run a request at most once.
 
-    :param request: the request.
+    :param request: the request and its idempotency key.
     :param random: source of jitter.
     """
 
     def __init__(self, request: ClaimRequest, random: Random) -> None:
         self.request = request
         self.random = random
-        self.record = LifeRecord(rival=request.seen)
-        self.life = new_claim_life(self.record)
+        self.record = AttemptRecord(other_may_have_run=request.seen)
+        self.lifecycle = new_lifecycle(self.record)
         self.claim: Claim | None = None
         self.version: Version | None = None
         self.failures = 0
@@ -84,18 +84,22 @@
         return step(self, event, now)
 
     def remaining(self, now: Moment) -> timedelta:
-        """Return the time to the deadline."""
+        """Return the time until the deadline; not positive if it has passed."""
         return self.request.deadline - now.monotonic
 
     def write(self, expected: Version | None, now: Moment) -> ClaimCommand:
-        """Return the command that writes the attempt's claim."""
+        """Return the command that writes the attempt's claim.
+
+        :param expected: version of the claim to replace; none to create it.
+        """
         if self.remaining(now) <= timedelta():
             return self.refuse(
-                ErrorKind.DEADLINE_PASSED, "the deadline passed before the claim"
+                ErrorKind.DEADLINE_PASSED,
+                "the deadline passed before the key was claimed",
             )
         if self.claim is None:
             self.claim = self._new_claim(now)
-        self.life.write()
+        self.lifecycle.write()
         return WriteClaim(self.claim, expected)
 
     def refuse(
@@ -105,15 +109,17 @@
         ran: Ran | None = None,
         retry_after: timedelta | None = None,
     ) -> FinishCall:
-        """Return the command that refuses a request that was not handed on.
+        """Return the command that refuses a request that was not dispatched.
 
         A claim that may have been written is released, so that a later attempt
-        does not take it for one that may have run. While another attempt may
-        have run, a refusal does not state that the request did not.
+        does not have to assume that the request ran. While another attempt may
+        have run, a refusal does not state that the request did not run.
+
+        :param ran: none to derive it from the record of the attempt.
         """
-        self.life.close()
+        self.lifecycle.close()
         if ran is None:
-            ran = Ran.UNKNOWN if self.record.rival else Ran.NO
+            ran = Ran.UNKNOWN if self.record.other_may_have_run else Ran.NO
         settle = self.claim if self.record.may_be_written else None
         return FinishCall(
             Error(Failure(kind, detail, ran, retry_after)),
@@ -122,9 +128,9 @@
         )
 
     def abandon(self) -> FinishCall | None:
-        """Return how to settle an attempt that was interrupted.
+        """Return the command that settles an interrupted attempt.
 
-        :return: none if the attempt had been answered.
+        :return: none if the caller has already been answered.
         """
         if self.record.closed:
             return None
--- a/packages/policies/src/sycamorenotch_policies/_claims.py
+++ b/packages/policies/src/sycamorenotch_policies/_claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys, independent of their encoding."""
+"""Claims on idempotency keys, independent of their encoding."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from sycamorenotch_kernel import Headers
 
 BODY_LIMIT_BYTES = 128 * 1024
-LENGTH_BYTES = 8
+LENGTH_PREFIX_BYTES = 8
 
 
 @final
 @unique
 class ClaimState(Enum):
-    """What is known about the attempt that holds a claim."""
+    """State of the attempt that holds a claim."""
 
     HELD = "held"
     DONE = "done"
@@ -34,9 +34,9 @@
 @final
 @dataclass(frozen=True, slots=True)
 class RecordedAnswer:
-    """The answer that a repeated request is given.
+    """Recorded answer, returned to repeated requests with the same key.
 
-    :param body: none if the body was larger than the limit.
+    :param body: none if the body is larger than :data:`BODY_LIMIT_BYTES`.
     :param digest: SHA-256 of the body, in hexadecimal.
     :param size: length of the body in bytes.
     """
@@ -51,14 +51,15 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """The right of one attempt to run the request of an idempotency key.
+    """Exclusive right of one attempt to run the request of an idempotency key.
 
     :param fingerprint: digest of the request.
     :param attempt: unique identifier of the attempt that wrote the claim.
     :param instance: instance that runs the attempt.
+    :param state: state of the attempt.
     :param created: wall clock time of the first write by this attempt.
-    :param due: wall clock time after which no answer of the attempt is awaited.
-    :param expires: wall clock time after which the claim may be collected.
+    :param due: wall clock deadline of the attempt.
+    :param expires: wall clock time after which the claim may be deleted.
     :param answer: the recorded answer, for :attr:`ClaimState.DONE`.
     """
 
@@ -74,8 +75,9 @@
     def has_attempt_of(self, other: Claim) -> bool:
         """Return whether one attempt wrote both claims.
 
-        The identifier is drawn at random; instance and time keep two attempts
-        apart even when their random sources stand alike.
+        The identifier is random. Comparing the instance and the time as well
+        tells two attempts apart even if their random generators have the same
+        state.
         """
         return (self.attempt, self.instance, self.created) == (
             other.attempt,
@@ -84,11 +86,11 @@
         )
 
     def done(self, answer: CallAnswer) -> Claim:
-        """Return the claim with the outcome of its attempt."""
+        """Return the claim of an answered attempt, with the recorded answer."""
         return replace(self, state=ClaimState.DONE, answer=record_answer(answer))
 
     def unknown(self) -> Claim:
-        """Return the claim of an attempt that may have run."""
+        """Return the claim of an attempt with an unknown outcome."""
         return replace(self, state=ClaimState.UNKNOWN)
 
     def released(self) -> Claim:
@@ -99,10 +101,13 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimRequest:
-    """The request that an attempt wants to run.
+    """A request to be run under an idempotency key.
 
-    :param deadline: moment on the monotonic clock.
-    :param lifetime: how long the key is remembered.
+    :param fingerprint: digest of the request.
+    :param attempt: unique identifier of the attempt.
+    :param instance: instance that runs the attempt.
+    :param deadline: monotonic time.
+    :param lifetime: how long the claim is kept after the deadline.
     :param seen: whether this instance knows of an earlier attempt for the key
         that may have run.
     """
@@ -118,10 +123,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Moment:
-    """One reading of both clocks.
+    """Reading of both clocks at one time.
 
-    :param monotonic: for deadlines of this instance.
-    :param wall: for dates that other instances read.
+    :param monotonic: for deadlines on this instance.
+    :param wall: for times that other instances read.
     """
 
     monotonic: timedelta
@@ -129,12 +134,12 @@
 
 
 def fingerprint(method: str, path: str, body: bytes) -> str:
-    """Return the digest that tells two requests with one key apart."""
+    """Return a digest that detects the reuse of a key for another request."""
     return _digest((method.encode(), path.encode("utf-8", "surrogateescape"), body))
 
 
 def record_answer(answer: CallAnswer) -> RecordedAnswer:
-    """Return the form of an answer that is kept with a claim."""
+    """Return an answer in the form that is stored with a claim."""
     size = len(answer.body)
     return RecordedAnswer(
         status=answer.status,
@@ -146,9 +151,9 @@
 
 
 def _digest(parts: Iterable[bytes]) -> str:
-    # A length before each part keeps different requests from one digest.
+    # The length prefixes keep different requests from having the same input.
     digest = hashlib.sha256()
     for part in parts:
-        digest.update(len(part).to_bytes(LENGTH_BYTES, "big"))
+        digest.update(len(part).to_bytes(LENGTH_PREFIX_BYTES, "big"))
         digest.update(part)
     return digest.hexdigest()
--- a/packages/policies/src/sycamorenotch_policies/_concurrency.py
+++ b/packages/policies/src/sycamorenotch_policies/_concurrency.py
@@ -1,4 +1,4 @@
-"""Adapts the number of requests in flight to the observed latency."""
+"""Adaptive concurrency limit that follows the observed latency."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from sycamorenotch_policies._outcomes import Outcome
 
 WINDOW_SAMPLES = 32
-LATENCY_TOLERANCE = 2.0
+LATENCY_TOLERANCE_FACTOR = 2.0
 LATENCY_SLACK = timedelta(milliseconds=5)
-SHED_TOLERANCE = 0.1
-DECREASE = 0.9
-MINIMUM_SHARE = 0.25
-BASELINE_DRIFT = 0.02
+MAX_SHED_SHARE = 0.1
+DECREASE_FACTOR = 0.9
+MIN_GRANT_SHARE = 0.25
+BASELINE_WEIGHT = 0.02
 
 
 @final
 class ConcurrencyLimit:
     """Additive increase, multiplicative decrease of a limit within a grant.
 
-    The limit falls when the median latency of a window is well above the
-    latency of an unloaded upstream, or when upstreams shed work; otherwise it
-    grows by one until it reaches the grant.
+    The limit decreases when the median latency of a window of attempts is well
+    above the latency of an unloaded upstream, or when upstreams shed requests;
+    otherwise it grows by one until it reaches the grant.
 
     :param grant: upper bound, in requests in flight.
     :param service_time: expected latency of an unloaded upstream.
@@ -38,17 +38,17 @@
 
     @property
     def limit(self) -> int:
-        """The number of requests that may be in flight now."""
+        """The number of requests that may be in flight."""
         return min(self._grant, max(1, int(self._limit))) if self._grant else 0
 
     def resize(self, grant: int) -> None:
-        """Replace the grant and scale the limit with it."""
+        """Replace the grant and scale the limit in proportion."""
         share = self._limit / self._grant if self._grant else 1.0
         self._grant = grant
         self._limit = grant * share
 
     def observe(self, latency: timedelta, outcome: Outcome) -> None:
-        """Count one finished attempt.
+        """Record one finished attempt.
 
         :param latency: time from dispatch to the end of the attempt.
         """
@@ -60,22 +60,22 @@
             self._close_window()
 
     def _close_window(self) -> None:
-        crowded = self._shed > SHED_TOLERANCE * WINDOW_SAMPLES
+        overloaded = self._shed > MAX_SHED_SHARE * WINDOW_SAMPLES
         if self._latencies_s:
-            crowded = self._is_slow(median(self._latencies_s)) or crowded
-        if crowded:
-            least = max(1.0, self._grant * MINIMUM_SHARE)
-            self._limit = max(least, self._limit * DECREASE)
+            overloaded = self._is_slow(median(self._latencies_s)) or overloaded
+        if overloaded:
+            lower_bound = max(1.0, self._grant * MIN_GRANT_SHARE)
+            self._limit = max(lower_bound, self._limit * DECREASE_FACTOR)
         else:
             self._limit = min(float(self._grant), self._limit + 1)
         self._latencies_s.clear()
         self._shed = 0
 
     def _is_slow(self, observed_s: float) -> bool:
-        allowed_s = self._unloaded_s * LATENCY_TOLERANCE
+        allowed_s = self._unloaded_s * LATENCY_TOLERANCE_FACTOR
         slow = observed_s > allowed_s + LATENCY_SLACK.total_seconds()
-        # The baseline follows a lasting change of the service time slowly and
-        # a faster answer at once.
-        drift = (observed_s - self._unloaded_s) * BASELINE_DRIFT
+        # The baseline rises slowly, so that it follows only a lasting change of
+        # the service time, and drops to a lower latency at once.
+        drift = (observed_s - self._unloaded_s) * BASELINE_WEIGHT
         self._unloaded_s = min(observed_s, self._unloaded_s + max(0.0, drift))
         return slow
--- a/packages/policies/src/sycamorenotch_policies/_idle_trust.py
+++ b/packages/policies/src/sycamorenotch_policies/_idle_trust.py
@@ -1,48 +1,55 @@
-"""How long an idle connection to a service may be trusted with a request."""
+"""Adaptive idle timeout of the keep-alive connections to a service."""
 
 from __future__ import annotations
 
 from math import inf
 from typing import final
 
-# A connection that was forgotten while idle is reset within a round trip of the
-# request; a worker that crashes resets it at any moment of the work.
-FORGOTTEN_S = 0.2
-# Connections that were idle for less are not forgotten but lost otherwise.
-SHORTEST_S = 0.25
-# Part of the idle time of a forgotten connection that is trusted afterwards.
-TRUSTED_PART = 0.5
-# Time without a forgotten connection after which the trust doubles.
-RELAX_S = 5.0
-# Trust from which on only the server's own statement bounds the idle time; it
-# is above the time that servers usually state.
-LONGEST_S = 15.0
+# A server that dropped an idle connection resets it within a round trip of the
+# request. A later reset may be a crash of the worker.
+MAX_RESET_DELAY_S = 0.2
+# Servers keep connections open for longer than this; a reset after a shorter idle
+# time has another cause.
+MIN_IDLE_S = 0.25
+# The new limit, as a factor of the idle time of the dropped connection.
+IDLE_TIME_FACTOR = 0.5
+# The limit doubles after each interval without a dropped connection.
+DOUBLING_INTERVAL_S = 5.0
+# From this limit on, only the timeout that the server announces applies. It is
+# above the usual keep-alive timeouts of servers.
+UNBOUNDED_FROM_S = 15.0
 
 
 @final
 class IdleTrust:
-    """Learns of connections that servers forget without closing them."""
+    """Learns the idle time after which servers silently drop connections."""
 
     def __init__(self) -> None:
-        self._bound_s = inf
-        self._since = 0.0
+        self._limit_s = inf
+        self._limited_at = 0.0
 
     def bound_s(self, now: float) -> float:
-        """Return the idle time up to which a connection may be used."""
-        if self._bound_s == inf:
+        """Return the idle time up to which a connection may be reused, in seconds."""
+        if self._limit_s == inf:
             return inf
-        bound = self._bound_s * 2.0 ** ((now - self._since) // RELAX_S)
-        return inf if bound >= LONGEST_S else bound
+        limit_s = self._limit_s * 2.0 ** (
+            (now - self._limited_at) // DOUBLING_INTERVAL_S
+        )
+        return inf if limit_s >= UNBOUNDED_FROM_S else limit_s
 
     def broke_off(self, idle_s: float | None, after_s: float, now: float) -> bool:
-        """Take note of a connection that ended without any byte of an answer.
+        """Record a connection that was closed before the first byte of an answer.
 
-        :param idle_s: how long it was idle before the request, if it was.
-        :param after_s: time from the request to the end.
-        :return: whether the server seems to have forgotten the connection.
+        :param idle_s: idle time of the connection before the request; none for a
+            new connection.
+        :param after_s: time from the request to the close, in seconds.
+        :return: whether the server seems to have dropped the connection while it
+            was idle.
         """
-        if idle_s is None or idle_s < SHORTEST_S or after_s > FORGOTTEN_S:
+        if idle_s is None or idle_s < MIN_IDLE_S or after_s > MAX_RESET_DELAY_S:
             return False
-        self._bound_s = max(SHORTEST_S, min(self.bound_s(now), idle_s * TRUSTED_PART))
-        self._since = now
+        self._limit_s = max(
+            MIN_IDLE_S, min(self.bound_s(now), idle_s * IDLE_TIME_FACTOR)
+        )
+        self._limited_at = now
         return True
--- a/packages/policies/src/sycamorenotch_policies/_outcomes.py
+++ b/packages/policies/src/sycamorenotch_policies/_outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt at an upstream worker ended."""
+"""Outcome of an attempt at an upstream worker."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @final
 @unique
 class Outcome(Enum):
-    """End of one attempt, as this instance saw it."""
+    """Outcome of one attempt, as this instance observed it."""
 
     ANSWERED = "answered"
     SHED = "shed"
@@ -20,5 +20,5 @@
 
     @property
     def is_failure(self) -> bool:
-        """Whether the worker is to blame for the missing answer."""
+        """Whether the missing answer counts as a failure of the worker."""
         return self in (Outcome.FAILED, Outcome.LATE)
--- a/packages/policies/src/sycamorenotch_policies/_quarantine.py
+++ b/packages/policies/src/sycamorenotch_policies/_quarantine.py
@@ -1,4 +1,4 @@
-"""Recognises requests that bring down the upstreams that run them."""
+"""Quarantine of poison requests, which crash the workers that run them."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 STRIKE_LIMIT = 3
 STRIKE_LIFETIME = timedelta(minutes=5)
 QUARANTINE_LIFETIME = timedelta(minutes=10)
-MAXIMUM_SIGNATURES = 4096
-MAXIMUM_EXCHANGED = 4096
+MAX_SIGNATURES = 4096
+MAX_EXCHANGED_STRIKES = 4096
 SIGNATURE_BYTES = 16
 
 
 def sign_request(service: str, method: str, path: str, body: bytes) -> Signature:
-    """Return a digest that the same request has on every instance."""
+    """Return a digest that is the same for a request on every instance."""
     digest = hashlib.blake2b(digest_size=SIGNATURE_BYTES)
     for part in (service.encode(), method.encode(), path.encode(), body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -35,11 +35,11 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Strike:
-    """One worker that lost its connection while it ran a request.
+    """Loss of the connection to a worker while it ran a request.
 
-    :param origin: instance that saw it.
+    :param origin: instance that observed the loss.
     :param sequence: number among the strikes of the origin, from 1.
-    :param age: time since it was seen.
+    :param age: time since the loss.
     """
 
     signature: Signature
@@ -51,7 +51,7 @@
 
 @final
 @dataclass(slots=True)
-class _Suspect:
+class _SignatureRecord:
     strikes: dict[tuple[str, int], timedelta] = field(default_factory=dict)
     until: timedelta | None = None
 
@@ -67,48 +67,48 @@
 
 @final
 class Quarantine:
-    """Counts strikes and holds back requests that have too many.
+    """Counts strikes per request and quarantines requests that have too many.
 
-    A request that was answered is cleared, because a request that always
-    brings down its worker never has an answer.
+    An answer clears a request, because a request that always crashes its worker
+    never gets one.
 
     :param origin: name of this instance.
     """
 
     def __init__(self, origin: str) -> None:
         self._origin = origin
-        self._numbers = count(1)
-        self._suspects: OrderedDict[Signature, _Suspect] = OrderedDict()
-        self._local: deque[_LocalStrike] = deque(maxlen=MAXIMUM_EXCHANGED)
+        self._sequence = count(1)
+        self._records: OrderedDict[Signature, _SignatureRecord] = OrderedDict()
+        self._local: deque[_LocalStrike] = deque(maxlen=MAX_EXCHANGED_STRIKES)
 
     def __len__(self) -> int:
-        return len(self._suspects)
+        return len(self._records)
 
     def remaining(self, signature: Signature, now: timedelta) -> timedelta | None:
-        """Return how long a request stays in quarantine, if it is in it."""
-        suspect = self._suspects.get(signature)
-        if suspect is None or suspect.until is None:
+        """Return the remaining quarantine time of a request, or none."""
+        record = self._records.get(signature)
+        if record is None or record.until is None:
             return None
-        if suspect.until <= now:
-            del self._suspects[signature]
+        if record.until <= now:
+            del self._records[signature]
             return None
-        return suspect.until - now
+        return record.until - now
 
     def record_strike(self, signature: Signature, worker: str, now: timedelta) -> bool:
-        """Count a worker that was lost while it ran a request.
+        """Record a worker that was lost while it ran a request.
 
         :return: whether the strike put the request into quarantine.
         """
-        strike = _LocalStrike(signature, worker, next(self._numbers), now)
+        strike = _LocalStrike(signature, worker, next(self._sequence), now)
         self._local.append(strike)
-        return self._count(signature, (self._origin, strike.sequence), now, now)
+        return self._add_strike(signature, (self._origin, strike.sequence), now, now)
 
     def record_answer(self, signature: Signature) -> None:
-        """Clear a request that a worker has answered."""
-        self._suspects.pop(signature, None)
+        """Clear the strikes of a request that a worker has answered."""
+        self._records.pop(signature, None)
 
     def strikes_since(self, sequence: int, now: timedelta) -> tuple[Strike, ...]:
-        """Return the strikes seen here after a sequence number."""
+        """Return the strikes of this instance after a sequence number."""
         return tuple(
             Strike(s.signature, s.worker, self._origin, s.sequence, now - s.at)
             for s in self._local
@@ -116,41 +116,41 @@
         )
 
     def merge(self, strikes: Iterable[Strike], now: timedelta) -> int:
-        """Count strikes that other instances saw; repeats count once.
+        """Add strikes of other instances; duplicates count once.
 
         :return: the number of requests that this put into quarantine.
         """
-        foreign = (strike for strike in strikes if strike.origin != self._origin)
+        remote = (strike for strike in strikes if strike.origin != self._origin)
         return sum(
-            self._count(
+            self._add_strike(
                 strike.signature,
                 (strike.origin, strike.sequence),
                 now - strike.age,
                 now,
             )
-            for strike in foreign
+            for strike in remote
         )
 
-    def _count(
+    def _add_strike(
         self,
         signature: Signature,
-        identity: tuple[str, int],
+        strike_id: tuple[str, int],
         at: timedelta,
         now: timedelta,
     ) -> bool:
         if now - at > STRIKE_LIFETIME:
             return False
-        suspect = self._suspects.setdefault(signature, _Suspect())
-        self._suspects.move_to_end(signature)
-        if len(self._suspects) > MAXIMUM_SIGNATURES:
-            self._suspects.popitem(last=False)
-        suspect.strikes = {
-            key: seen
-            for key, seen in suspect.strikes.items()
-            if now - seen <= STRIKE_LIFETIME
+        record = self._records.setdefault(signature, _SignatureRecord())
+        self._records.move_to_end(signature)
+        if len(self._records) > MAX_SIGNATURES:
+            self._records.popitem(last=False)
+        record.strikes = {
+            key: observed_at
+            for key, observed_at in record.strikes.items()
+            if now - observed_at <= STRIKE_LIFETIME
         }
-        suspect.strikes[identity] = at
-        if suspect.until is not None or len(suspect.strikes) < STRIKE_LIMIT:
+        record.strikes[strike_id] = at
+        if record.until is not None or len(record.strikes) < STRIKE_LIMIT:
             return False
-        suspect.until = now + QUARANTINE_LIFETIME
+        record.until = now + QUARANTINE_LIFETIME
         return True
--- a/packages/policies/src/sycamorenotch_policies/_retry.py
+++ b/packages/policies/src/sycamorenotch_policies/_retry.py
@@ -1,4 +1,4 @@
-"""Whether and when a failed attempt is repeated."""
+"""Rules for whether and when a failed attempt is retried."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from sycamorenotch_kernel import Ran
 from sycamorenotch_kernel import retry_rules
 
-MAXIMUM_ATTEMPTS = 3
-BUDGET_SHARE = 0.1
-BUDGET_LIMIT = 10.0
+MAX_ATTEMPTS = 3
+BUDGET_PER_FIRST_ATTEMPT = 0.1
+MAX_BUDGET = 10.0
 BASE_DELAY = timedelta(milliseconds=10)
-MAXIMUM_DELAY = timedelta(seconds=1)
+MAX_DELAY = timedelta(seconds=1)
 
-UPSTREAM_KINDS = frozenset({ErrorKind.UPSTREAM_SHED, ErrorKind.UPSTREAM_FAILED})
+RETRYABLE_KINDS = frozenset({ErrorKind.UPSTREAM_SHED, ErrorKind.UPSTREAM_FAILED})
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class FailedAttempt:
-    """An attempt that a retry rule is asked about.
+    """A failed attempt, as input of a retry rule.
 
     :param number: 1 for the first attempt.
-    :param idempotent: whether the route may run a request more than once.
-    :param deadline: moment on the monotonic clock.
-    :param service_time: usual time of one request.
+    :param idempotent: whether the route allows a request to run more than once.
+    :param deadline: monotonic time.
+    :param service_time: expected service time of one request.
     """
 
     number: int
@@ -43,7 +43,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Retry:
-    """Try again after a delay."""
+    """Retry the request after a delay."""
 
     delay: timedelta
 
@@ -51,7 +51,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """Hand the failure to the caller."""
+    """Return the failure to the caller."""
 
     reason: str
 
@@ -60,26 +60,26 @@
 
 
 class RetryRule(Protocol):
-    """Decides on retries of one service on this instance."""
+    """Strategy for the retries of one service on this instance."""
 
     def count_first_attempt(self) -> None:
         """Count a request that was sent for the first time."""
         ...
 
     def decide(self, attempt: FailedAttempt, now: timedelta) -> RetryDecision:
-        """Decide what follows a failed attempt."""
+        """Decide whether to retry a failed attempt."""
         ...
 
 
 def may_run_again(attempt: FailedAttempt) -> bool:
-    """Return whether a retry cannot run a protected action twice."""
+    """Return whether a retry cannot run a non-idempotent request twice."""
     return attempt.idempotent or attempt.failure.stated_ran is Ran.NO
 
 
 @retry_rules.register("never")
 @final
 class NeverRetry:
-    """Hands on every failure."""
+    """Returns every failure to the caller."""
 
     def __init__(self, random: Random) -> None:
         pass
@@ -95,7 +95,7 @@
 @retry_rules.register("plain")
 @final
 class PlainRetry:
-    """Retries at once and without a budget; a baseline for measurements."""
+    """Retries at once and without a budget; a baseline for comparison."""
 
     def __init__(self, random: Random) -> None:
         pass
@@ -104,10 +104,10 @@
         """Do nothing; there is no budget."""
 
     def decide(self, attempt: FailedAttempt, now: timedelta) -> RetryDecision:
-        """Retry until the attempts are used up."""
+        """Retry up to the maximum number of attempts."""
         if not may_run_again(attempt):
             return GiveUp("the request may have run")
-        if attempt.number >= MAXIMUM_ATTEMPTS:
+        if attempt.number >= MAX_ATTEMPTS:
             return GiveUp("the attempts are used up")
         return Retry(timedelta())
 
@@ -115,31 +115,31 @@
 @retry_rules.register("budgeted")
 @final
 class BudgetedRetry:
-    """Retries within a share of the first attempts, with full jitter.
+    """Retries with full jitter, within a budget that first attempts refill.
 
     :param random: source of the jitter.
     """
 
     def __init__(self, random: Random) -> None:
         self._random = random
-        self._budget = BUDGET_LIMIT
+        self._budget = MAX_BUDGET
 
     @property
     def budget(self) -> float:
-        """The number of retries that may follow now."""
+        """The number of retries that the budget allows at present."""
         return self._budget
 
     def count_first_attempt(self) -> None:
         """Add a share of one retry to the budget."""
-        self._budget = min(BUDGET_LIMIT, self._budget + BUDGET_SHARE)
+        self._budget = min(MAX_BUDGET, self._budget + BUDGET_PER_FIRST_ATTEMPT)
 
     def decide(self, attempt: FailedAttempt, now: timedelta) -> RetryDecision:
-        """Retry if it is safe, in time and within the budget."""
-        if attempt.failure.kind not in UPSTREAM_KINDS:
+        """Retry if it is safe and within the deadline and the budget."""
+        if attempt.failure.kind not in RETRYABLE_KINDS:
             return GiveUp("another attempt would not change the failure")
         if not may_run_again(attempt):
             return GiveUp("the request may have run")
-        if attempt.number >= MAXIMUM_ATTEMPTS:
+        if attempt.number >= MAX_ATTEMPTS:
             return GiveUp("the attempts are used up")
         if self._budget < 1:
             return GiveUp("the retry budget is used up")
@@ -150,5 +150,5 @@
         return Retry(delay)
 
     def _delay(self, number: int) -> timedelta:
-        longest: timedelta = min(MAXIMUM_DELAY, BASE_DELAY * 2**number)
-        return longest * self._random.random()
+        max_delay: timedelta = min(MAX_DELAY, BASE_DELAY * 2**number)
+        return max_delay * self._random.random()
--- a/packages/policies/src/sycamorenotch_policies/_retry_allowance.py
+++ b/packages/policies/src/sycamorenotch_policies/_retry_allowance.py
@@ -1,4 +1,4 @@
-"""One instance's share of the retries that a service bears."""
+"""Retry budget: one instance's share of the retries to a service."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from dataclasses import field
 from typing import final
 
-# Part of the share that is used; the rest covers instances that count
-# their peers late.
-USED_PART = 0.8
+# The unused part of the share covers instances that detect new peers late.
+USED_SHARE = 0.8
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class RetryTerms:
-    """The bound on all instances together.
+    """Limit on the retries of all instances together.
 
-    :param ratio: retries for each request in the window.
-    :param window_s: length of the sliding window.
-    :param extra: retries in a window beyond the ratio, of all instances.
+    :param ratio: retries per first attempt in the window.
+    :param window_s: length of the sliding window, in seconds.
+    :param extra: retries per window that all instances together may add to the
+        ratio.
     """
 
     ratio: float
@@ -30,48 +30,49 @@
 
 @final
 @dataclass(slots=True)
-class _Counts:
-    first: deque[float] = field(default_factory=deque)
-    again: deque[float] = field(default_factory=deque)
+class _Window:
+    first_attempts: deque[float] = field(default_factory=deque)
+    retries: deque[float] = field(default_factory=deque)
 
 
 @final
 class RetryAllowance:
-    """Counts the requests and retries of each service in a sliding window.
+    """Limits the retries of each service in a sliding window.
 
-    The share of one instance is the ratio of its own requests and an equal part
+    One instance may retry the ratio of its own first attempts and an equal part
     of the extra retries.
 
-    :param terms: returns the bound in force.
+    :param terms: returns the limit in force.
     """
 
     def __init__(self, terms: Callable[[], RetryTerms]) -> None:
         self._terms = terms
-        self._services: dict[str, _Counts] = {}
+        self._services: dict[str, _Window] = {}
 
     def requested(self, service: str, now: float) -> None:
-        """Count a request that is sent for the first time."""
-        counts = self._counts(service, now)
-        counts.first.append(now)
+        """Count a first attempt."""
+        window = self._window(service, now)
+        window.first_attempts.append(now)
 
     def take(self, service: str, now: float, instances: int) -> bool:
-        """Count a retry, if there is one left.
+        """Count a retry if the budget allows one.
 
-        :param instances: instances that share the extra retries.
+        :param instances: number of instances that share the extra retries.
+        :return: whether the request may be retried.
         """
-        counts = self._counts(service, now)
+        window = self._window(service, now)
         terms = self._terms()
         share = terms.extra / max(1, instances)
-        allowed = USED_PART * (terms.ratio * len(counts.first) + share)
-        if len(counts.again) + 1 > allowed:
+        allowed = USED_SHARE * (terms.ratio * len(window.first_attempts) + share)
+        if len(window.retries) + 1 > allowed:
             return False
-        counts.again.append(now)
+        window.retries.append(now)
         return True
 
-    def _counts(self, service: str, now: float) -> _Counts:
-        counts = self._services.setdefault(service, _Counts())
+    def _window(self, service: str, now: float) -> _Window:
+        window = self._services.setdefault(service, _Window())
         since = now - self._terms().window_s
-        for moments in (counts.first, counts.again):
+        for moments in (window.first_attempts, window.retries):
             while moments and moments[0] <= since:
                 moments.popleft()
-        return counts
+        return window
--- a/packages/policies/src/sycamorenotch_policies/_worker_book.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_book.py
@@ -1,4 +1,4 @@
-"""What an instance knows of each worker, told and observed."""
+"""Per-worker state of an instance: entries, load reports and observed outcomes."""
 
 from __future__ import annotations
 
@@ -13,18 +13,17 @@
 from sycamorenotch_kernel import ServiceLimits
 from sycamorenotch_kernel import WorkerEntry
 
-# A report of load says little after the time of a few requests.
-REPORT_LIFE_S = 1.5
-# First pause after a failure; it doubles up to the longest.
-FIRST_PAUSE_S = 0.3
-LONGEST_PAUSE_S = 3.0
-# Weight of the newest latency in the moving average.
-LATENCY_GAIN = 0.2
-# A worker that has requests and answers none for this many times its usual
-# latency, and for at least this long, is taken to be silent. Work varies by a
-# factor of three, and may wait behind as much again.
-SILENT_LATENCIES = 5.0
-SHORTEST_SILENCE_S = 1.2
+# A load report is stale after the service time of a few requests.
+REPORT_LIFETIME_S = 1.5
+INITIAL_BACKOFF_S = 0.3
+MAX_BACKOFF_S = 3.0
+# Smoothing factor of the moving average of the latency.
+LATENCY_WEIGHT = 0.2
+# A worker counts as unresponsive if it has requests in flight and answers none
+# for this multiple of its average latency, but at least for the minimum. Service
+# times vary by a factor of three, and a request may queue behind another one.
+SILENCE_TIMEOUT_LATENCIES = 5.0
+MIN_SILENCE_TIMEOUT_S = 1.2
 
 
 @final
@@ -32,22 +31,30 @@
 class WorkerView:
     """One worker, as this instance sees it.
 
-    All moments are seconds on the monotonic clock.
-
-    :param others: requests of other instances there, by its last report.
-    :param paused_until: moment before which it gets no request after a failure.
-    :param cold_until: moment until which it bears only few requests.
-    :param missing_until: moment by which its entry must be back, if it is gone.
-    :param latency_s: moving average of the time to an answer.
-    :param heard_at: moment of its last answer to this instance.
-    :param sent: moments of the requests of the last second.
-    :param open_since: moments at which the requests in flight were sent.
+    All times are seconds on the monotonic clock.
+
+    :param entry: last entry of the worker.
+    :param region: region of the worker's data centre.
+    :param seen_at: time at which the entry was last received.
+    :param others_in_flight: requests of other instances, by the last load report.
+    :param reported_at: time of the last load report.
+    :param failures: consecutive failures.
+    :param paused_until: end of the backoff after a failure.
+    :param unreachable: whether the worker could not be connected to since its
+        last regular answer.
+    :param cold_until: end of the cold start, with a limited request rate.
+    :param missing_until: time at which the worker is removed unless its expired
+        entry comes back; none while the entry is present.
+    :param latency_s: moving average of the latency of regular answers.
+    :param heard_at: time of the last answer to this instance.
+    :param sent: send times of the requests of the last second.
+    :param in_flight_since: send times of the requests in flight.
     """
 
     entry: WorkerEntry
     region: str
     seen_at: float
-    others: float = 0.0
+    others_in_flight: float = 0.0
     reported_at: float = -1e9
     failures: int = 0
     paused_until: float = -1e9
@@ -57,69 +64,78 @@
     latency_s: float | None = None
     heard_at: float = -1e9
     sent: deque[float] = field(default_factory=deque)
-    open_since: list[float] = field(default_factory=list)
+    in_flight_since: list[float] = field(default_factory=list)
 
     @property
     def in_flight(self) -> int:
-        """Requests of this instance at the worker."""
-        return len(self.open_since)
+        """Number of requests of this instance at the worker."""
+        return len(self.in_flight_since)
 
     def silence_s(self) -> float:
-        """How long the worker may be without an answer while it has requests."""
-        return max(SHORTEST_SILENCE_S, SILENT_LATENCIES * (self.latency_s or 0.0))
+        """Return how long the worker may give no answer while it has requests."""
+        return max(
+            MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_LATENCIES * (self.latency_s or 0.0)
+        )
 
     def silent_at(self) -> float:
-        """Moment from which the worker counts as silent; infinite if it is idle."""
-        if not self.open_since:
+        """Return when the worker becomes unresponsive; infinite while it is idle."""
+        if not self.in_flight_since:
             return inf
-        return max(self.heard_at, min(self.open_since)) + self.silence_s()
+        return max(self.heard_at, min(self.in_flight_since)) + self.silence_s()
 
     def load(self, now: float) -> float:
-        """Requests at the worker, running and waiting, as far as known."""
+        """Return the estimated number of requests at the worker, running and queued.
+
+        The share of other instances fades out as the last load report ages.
+        """
         age = now - self.reported_at
-        if age >= REPORT_LIFE_S:
+        if age >= REPORT_LIFETIME_S:
             return float(self.in_flight)
-        return self.in_flight + self.others * (1.0 - age / REPORT_LIFE_S)
+        return self.in_flight + self.others_in_flight * (1.0 - age / REPORT_LIFETIME_S)
 
     def observe_load(self, report: LoadReport, now: float) -> None:
-        """Take a report that came with an answer to this instance."""
-        # The report may still count the request that it came with.
+        """Record a load report that came with an answer to this instance."""
+        # The report may still count the request that it answers.
         own = self.in_flight + 1
-        self.others = max(0.0, report.running + report.waiting - own)
+        self.others_in_flight = max(0.0, report.running + report.waiting - own)
         self.reported_at = now
 
     def started(self, now: float) -> None:
-        """Take note of a request that is sent."""
-        self.open_since.append(now)
+        """Record that a request is sent."""
+        self.in_flight_since.append(now)
         self.sent.append(now)
         while self.sent and self.sent[0] <= now - 1.0:
             self.sent.popleft()
 
     def ended(self, begun: float) -> None:
-        """Take note that a request is no longer in flight."""
-        self.open_since.remove(begun)
+        """Record that a request is no longer in flight.
+
+        :param begun: time that was passed to :meth:`started`.
+        """
+        self.in_flight_since.remove(begun)
 
     def sent_last_second(self, now: float) -> int:
-        """Requests that this instance sent in the last second."""
+        """Return the number of requests that this instance sent in the last second."""
         return sum(1 for moment in self.sent if moment > now - 1.0)
 
     def succeeded(self, latency_s: float) -> None:
-        """Take note of a regular answer of the worker."""
+        """Record a regular answer of the worker."""
         self.failures = 0
         self.unreachable = False
         known = self.latency_s
         self.latency_s = (
-            latency_s if known is None else known + LATENCY_GAIN * (latency_s - known)
+            latency_s if known is None else known + LATENCY_WEIGHT * (latency_s - known)
         )
 
     def failed(self, now: float, cold_s: float, *, unreachable: bool) -> None:
-        """Take note of a failure that may mean that the worker is down.
+        """Record a failure that may mean that the worker is down.
 
-        :param cold_s: how long the worker is slow once it is back.
+        :param cold_s: duration of the cold start once the worker is back.
+        :param unreachable: whether the connection failed.
         """
         self.failures += 1
-        pause = min(FIRST_PAUSE_S * 2.0 ** (self.failures - 1), LONGEST_PAUSE_S)
-        self.paused_until = now + pause
+        backoff_s = min(INITIAL_BACKOFF_S * 2.0 ** (self.failures - 1), MAX_BACKOFF_S)
+        self.paused_until = now + backoff_s
         if unreachable:
             self.unreachable = True
             self.cold_until = max(self.cold_until, self.paused_until + cold_s)
@@ -127,7 +143,7 @@
 
 @final
 class WorkerBook:
-    """The workers of every service.
+    """Known workers of every service, indexed by service.
 
     :param region_of: returns the region of a data centre.
     """
@@ -144,54 +160,54 @@
         return len(self._views)
 
     def get(self, worker: str) -> WorkerView | None:
-        """Return a worker by its identifier."""
+        """Return a worker by its identifier, or none if it is unknown."""
         return self._views.get(worker)
 
     def cold_s(self, service: str) -> float:
-        """How long a worker of a service stays slow after its start."""
+        """Return the duration of the cold start of a service's workers, in seconds."""
         limits = self.limits.get(service)
         return 0.0 if limits is None else limits.cold_s
 
     def usable(self, service: str, now: float) -> tuple[WorkerView, ...]:
-        """Return the workers of a service that may get requests."""
+        """Return the workers of a service that are not in backoff."""
         return tuple(
             view for view in self._services.get(service, ()) if now >= view.paused_until
         )
 
     def known(self, service: str) -> tuple[WorkerView, ...]:
-        """Return the workers of a service, those in a pause too."""
+        """Return the workers of a service, including those in backoff."""
         return self._services.get(service, ())
 
     def census(self, service: str, now: float) -> str:
-        """Tell how many workers a service has and why some get no requests."""
+        """Describe how many workers a service has and why some get no requests."""
         views = [v for v in self._views.values() if v.entry.service == service]
         counts = {
-            "leave": sum(view.entry.draining for view in views),
+            "are draining": sum(view.entry.draining for view in views),
             "are in data centres under evacuation": sum(
                 view.entry.data_centre in self._evacuated for view in views
             ),
             "pause after failures": sum(now < view.paused_until for view in views),
             "have just started": sum(now < view.cold_until for view in views),
-            "are silent": sum(now >= view.silent_at() for view in views),
+            "are unresponsive": sum(now >= view.silent_at() for view in views),
         }
         parts = [f"{count} {what}" for what, count in counts.items() if count]
         return ", ".join([f"{len(views)} workers known", *parts])
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """Data centres whose workers get nothing."""
+        """Data centres under evacuation; their workers get no requests."""
         return self._evacuated
 
     def put(self, entry: WorkerEntry, now: float) -> bool:
-        """Take a worker's entry.
+        """Add a worker or update its entry.
 
-        :return: whether the set of workers changed.
+        :return: whether the set of workers changed; always true.
         """
         view = self._views.get(entry.id)
         if view is None:
-            view = self._join(entry, now)
+            view = self._new_view(entry, now)
         elif view.entry.incarnation != entry.incarnation:
-            view = self._restart(view, entry, now)
+            view = self._restarted_view(view, entry, now)
         else:
             view.entry = entry
             if entry.cold_s > 0:
@@ -199,68 +215,75 @@
         view.missing_until = None
         view.seen_at = now
         self._views[entry.id] = view
-        self._index()
+        self._rebuild_index()
         return True
 
     def remove(self, worker: str) -> None:
-        """Drop a worker that is gone."""
+        """Remove a worker."""
         if self._views.pop(worker, None) is not None:
-            self._index()
+            self._rebuild_index()
 
     def miss(self, worker: str, until: float) -> None:
-        """Keep a worker whose entry may only have lapsed.
+        """Keep a worker for now whose entry may only have expired.
 
-        :param until: moment by which the entry must be back.
+        :param until: monotonic time at which the worker is removed unless its
+            entry comes back.
         """
         view = self._views.get(worker)
         if view is not None:
             view.missing_until = until
 
     def expire(self, now: float) -> tuple[str, ...]:
-        """Drop the workers whose entries did not come back in time."""
-        gone = tuple(
+        """Remove the workers whose entries did not come back in time.
+
+        :return: identifiers of the removed workers.
+        """
+        expired = tuple(
             name
             for name, view in self._views.items()
             if view.missing_until is not None and now >= view.missing_until
         )
-        for name in gone:
+        for name in expired:
             del self._views[name]
-        if gone:
-            self._index()
-        return gone
+        if expired:
+            self._rebuild_index()
+        return expired
 
     def names(self) -> frozenset[str]:
         """Return the identifiers of all workers."""
         return frozenset(self._views)
 
     def evacuate(self, data_centres: frozenset[str], now: float) -> None:
-        """Use no worker of some data centres; others are used again.
+        """Set the data centres whose workers get no requests.
 
-        Workers of a data centre that is taken back may have lost what they knew.
+        Workers of a data centre whose evacuation ends start cold, because they
+        may have lost their cached objects.
         """
-        back = self._evacuated - data_centres
+        returned = self._evacuated - data_centres
         for view in self._views.values():
-            if view.entry.data_centre in back:
+            if view.entry.data_centre in returned:
                 cold_s = self.cold_s(view.entry.service)
                 view.cold_until = max(view.cold_until, now + cold_s)
         self._evacuated = data_centres
-        self._index()
+        self._rebuild_index()
 
-    def _join(self, entry: WorkerEntry, now: float) -> WorkerView:
+    def _new_view(self, entry: WorkerEntry, now: float) -> WorkerView:
         region = self._region_of(entry.data_centre)
         view = WorkerView(entry, region, now)
         if entry.cold_s > 0:
             view.cold_until = now + entry.cold_s
         return view
 
-    def _restart(self, old: WorkerView, entry: WorkerEntry, now: float) -> WorkerView:
-        view = self._join(entry, now)
-        view.open_since = old.open_since
+    def _restarted_view(
+        self, old: WorkerView, entry: WorkerEntry, now: float
+    ) -> WorkerView:
+        view = self._new_view(entry, now)
+        view.in_flight_since = old.in_flight_since
         cold_s = entry.cold_s or self.cold_s(entry.service)
         view.cold_until = now + cold_s
         return view
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         self.version += 1
         found: dict[str, list[WorkerView]] = {}
         for view in self._views.values():
--- a/packages/policies/src/sycamorenotch_policies/_worker_choice.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_choice.py
@@ -1,4 +1,4 @@
-"""Which worker gets a request: few owners for each object, bounded load."""
+"""Choice of the worker for a request: object affinity with bounded load."""
 
 from __future__ import annotations
 
@@ -16,17 +16,16 @@
 from sycamorenotch_policies._route_table import unit_interval
 from sycamorenotch_policies._worker_book import WorkerView
 
-# Load for each slot beyond which a request would be too late at most workers.
-LONGEST_QUEUE = 1.5
-# Owners of an object. More owners share a burst better, but each of them must
-# first learn the object, which takes as long as several requests that know it.
-OWNERS = 2
-# Time of a request at a worker of which no latency is known.
+# Requests per slot. Behind a longer queue most requests miss their deadline.
+MAX_LOAD_PER_SLOT = 1.5
+# More owners spread a burst better, but each one has to load the object first,
+# which takes as long as several requests for a loaded object.
+OWNERS_PER_OBJECT = 2
+# Assumed latency of a worker that has not answered yet.
 DEFAULT_SERVICE_S = 0.5
-# Shortest pause that a refused caller is asked to make.
-SHORTEST_RETRY_S = 0.2
+MIN_RETRY_AFTER_S = 0.2
 
-MayUseCold = Callable[[str], bool]
+MayWarmUp = Callable[[str], bool]
 
 
 @final
@@ -34,7 +33,8 @@
 class Wanted:
     """A request that needs a worker.
 
-    :param tried: identifiers of workers that had the request already.
+    :param object_key: affinity key; without one the worker is chosen at random.
+    :param tried: identifiers of workers that received the request already.
     """
 
     route: ForwardingRoute
@@ -46,9 +46,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """A worker for a request.
+    """The worker chosen for a request.
 
-    :param load: requests at the worker for each slot, as known.
+    :param load: estimated requests per slot, running and queued.
+    :param reason: why this worker was chosen, for the log.
     """
 
     view: WorkerView
@@ -59,9 +60,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class NoRoom:
-    """No worker can take the request now.
+    """No worker can accept the request now.
 
-    :param retry_after_s: when there may be room.
+    :param reason: detail of the refusal.
+    :param retry_after_s: time after which the caller may retry, in seconds.
     """
 
     reason: str
@@ -69,71 +71,80 @@
 
 
 class WorkerChoice(Protocol):
-    """A way to choose a worker."""
+    """Strategy that chooses a worker for each request."""
 
     def choose(
         self, wanted: Wanted, views: tuple[WorkerView, ...], now: float
     ) -> Chosen | NoRoom:
-        """Choose among the usable workers of the service."""
+        """Choose among the usable workers of the service.
+
+        :param now: monotonic time in seconds.
+        """
         ...
 
 
 @worker_choices.register("affinity")
 @final
 class AffinityChoice:
-    """Gives requests for one object to the same few workers.
+    """Sends requests for one object to the same few workers.
 
-    The owners are those of the highest rendezvous weight, the same for every
-    instance. The first one with a short queue is taken. Large answers have
-    owners in the region of the instance first.
+    Weighted rendezvous hashing selects the owners of an object, so that every
+    instance agrees on them. The first owner whose queue is short gets the
+    request. For large answers, owners in the region of the instance come first.
 
     :param region: region of this instance.
-    :param may_use_cold: whether this instance is the one that feeds a cold worker.
+    :param limits: limits of each service, by its name.
+    :param may_warm_up: returns whether this instance is the one that sends
+        requests to a cold worker.
+    :param random: spreads requests that have no object key.
     """
 
     def __init__(
         self,
         region: str,
         limits: dict[str, ServiceLimits],
-        may_use_cold: MayUseCold,
+        may_warm_up: MayWarmUp,
         random: Random,
     ) -> None:
         self._region = region
         self._limits = limits
-        self._may_use_cold = may_use_cold
+        self._may_warm_up = may_warm_up
         self._random = random
 
     def choose(
         self, wanted: Wanted, views: tuple[WorkerView, ...], now: float
     ) -> Chosen | NoRoom:
-        """Choose among the usable workers of the service."""
+        """Choose among the usable workers of the service.
+
+        :param now: monotonic time in seconds.
+        """
         homes = wanted.route.homes
         allowed = [
             view
             for view in views
             if view.entry.id not in wanted.tried
             and (not homes or view.region in homes)
-            and self._bears_more(view, now)
+            and self._accepts_more(view, now)
         ]
         if not allowed:
-            return NoRoom("no worker of the service is usable", SHORTEST_RETRY_S)
-        heard = [view for view in allowed if now < view.silent_at()]
-        owners = self._owners(wanted, heard or allowed)
-        for place, view in enumerate(owners):
+            return NoRoom("no worker of the service is usable", MIN_RETRY_AFTER_S)
+        responsive = [view for view in allowed if now < view.silent_at()]
+        owners = self._owners(wanted, responsive or allowed)
+        for index, view in enumerate(owners):
             load = view.load(now) / view.entry.slots
-            if load < LONGEST_QUEUE:
-                return Chosen(view, load, f"owner {place + 1} of {len(owners)}")
+            if load < MAX_LOAD_PER_SLOT:
+                return Chosen(view, load, f"owner {index + 1} of {len(owners)}")
         first = owners[0]
-        excess = first.load(now) / first.entry.slots - LONGEST_QUEUE
+        excess = first.load(now) / first.entry.slots - MAX_LOAD_PER_SLOT
         wait = excess * (first.latency_s or DEFAULT_SERVICE_S)
-        return NoRoom("every owner has a long queue", max(SHORTEST_RETRY_S, wait))
+        return NoRoom("every owner has a long queue", max(MIN_RETRY_AFTER_S, wait))
 
-    def _bears_more(self, view: WorkerView, now: float) -> bool:
+    def _accepts_more(self, view: WorkerView, now: float) -> bool:
         if now >= view.cold_until:
             return True
         limits = self._limits.get(view.entry.service)
         rate = 1.0 if limits is None or limits.cold_rate <= 0 else limits.cold_rate
-        if not self._may_use_cold(view.entry.id):
+        if not self._may_warm_up(view.entry.id):
             return False
         return view.sent_last_second(now) + 1 <= rate
 
@@ -141,15 +152,15 @@
         key = wanted.object_key
         if not key or not wanted.route.sticky:
             key = str(self._random.random())
-        ordered = sorted(views, key=lambda view: self._rank(key, view))
+        ordered = sorted(views, key=lambda view: self._owner_score(key, view))
         if wanted.route.kind is not RequestKind.DOWNLOAD:
-            return ordered[:OWNERS]
-        # Bytes of large answers between regions cost more than a second owner.
+            return ordered[:OWNERS_PER_OBJECT]
+        # Sending a large answer between regions costs more than a second owner.
         local = [view for view in ordered if view.region == self._region]
         remote = [view for view in ordered if view.region != self._region]
-        return local[:OWNERS] + remote[:1]
+        return local[:OWNERS_PER_OBJECT] + remote[:1]
 
-    def _rank(self, key: str, view: WorkerView) -> float:
-        """Weighted rendezvous: the least value owns the object."""
+    def _owner_score(self, key: str, view: WorkerView) -> float:
+        """Return the weighted rendezvous score; the lowest scores own the object."""
         draw = unit_interval(key, view.entry.id) or 1e-12
         return -log(draw) / view.entry.slots
--- a/packages/policies/src/sycamorenotch_policies/_worker_state.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_state.py
@@ -1,4 +1,4 @@
-"""What one instance knows about one upstream worker."""
+"""State of one upstream worker, as one instance knows it."""
 
 from __future__ import annotations
 
@@ -11,19 +11,21 @@
 
 LATENCY_WEIGHT = 0.2
 FAILURE_WEIGHT = 0.2
-FAILURE_PENALTY = 10.0
-CONTRADICTION_FACTOR = 0.5
-CONSISTENCY_STEP = 0.1
-COLD_SHARE = 0.1
-ANSWERS_AGAINST_FULL = 3
+FAILURE_PENALTY_FACTOR = 10.0
+TRUST_DECREASE_FACTOR = 0.5
+TRUST_RECOVERY_STEP = 0.1
+MIN_RAMP_SHARE = 0.1
+ANSWERS_TO_REFUTE_FULL = 3
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a worker says about its load.
+    """Load that a worker reports about itself.
 
-    :param at: moment on the monotonic clock at which it was read.
+    :param running: requests that the worker runs.
+    :param slots: requests that the worker can run at once.
+    :param at: monotonic time at which the report was read.
     """
 
     worker: str
@@ -33,17 +35,18 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the worker says that it has no free slot."""
+        """Whether the worker reports no free slot."""
         return self.running >= self.slots
 
 
 @final
 class WorkerState:
-    """Outcomes and reports of one worker.
+    """Observed outcomes and load reports of one worker.
 
     :param connections: this instance's share of the worker's connections.
-    :param stale_after: age at which a load report has lost all weight.
-    :param cold_start: time over which a new worker is ramped up.
+    :param service_time: latency that is assumed before the first answer.
+    :param stale_after: age at which a load report no longer counts.
+    :param cold_start: duration of the ramp-up of a new worker.
     """
 
     def __init__(
@@ -75,7 +78,7 @@
 
     @property
     def report(self) -> LoadReport | None:
-        """The last load report, if there is one."""
+        """The last load report, or none."""
         return self._report
 
     @property
@@ -85,15 +88,19 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether the worker may get new work at all."""
+        """Whether the worker is neither leaving nor ejected."""
         return self.leaving_since is None and self.ejected_until is None
 
     def has_room(self, now: timedelta) -> bool:
-        """Return whether one more request keeps the worker's bounds."""
+        """Return whether the worker may get one more request within its bounds.
+
+        The bounds are its connections, its quota and its ramp-up; a worker that
+        is probed gets one request at a time.
+        """
         if self.probing:
             return self.in_flight == 0
-        warm = max(1.0, self.worker.slots * self._ramp(now))
-        bound = self.connections if self.cold_since is None else warm
+        ramped = max(1.0, self.worker.slots * self._ramp(now))
+        bound = self.connections if self.cold_since is None else ramped
         bound = min(bound, self.connections)
         return self.in_flight < (
             bound if self.quota is None else min(bound, self.quota)
@@ -101,16 +108,16 @@
 
     def score(self, now: timedelta) -> float:
         """Return the expected cost of one more request; lower is better."""
-        elsewhere = self._reported_elsewhere(now)
-        load = (self.in_flight + 1 + elsewhere) / self.worker.slots
-        penalty = 1 + FAILURE_PENALTY * self._failure_share
+        by_others = self._reported_by_others(now)
+        load = (self.in_flight + 1 + by_others) / self.worker.slots
+        penalty = 1 + FAILURE_PENALTY_FACTOR * self._failure_share
         return load * self._latency_s * penalty / self._ramp(now)
 
     def finish(self, latency: timedelta, outcome: Outcome, cause: str | None) -> None:
-        """Count the end of an attempt.
+        """Record the outcome of an attempt.
 
-        :param cause: signature of the request. Failures of one and the same
-            request in a row count once against the worker.
+        :param cause: signature of the request. Consecutive failures of the same
+            request count only once against the worker.
         """
         self.in_flight -= 1
         if outcome is Outcome.CANCELLED:
@@ -128,44 +135,47 @@
             change = latency.total_seconds() - self._latency_s
             self._latency_s += LATENCY_WEIGHT * change
 
-    def contradicts_room(self, now: timedelta) -> bool:
-        """Return whether a worker that shed work had reported free slots."""
+    def shed_contradicts_report(self, now: timedelta) -> bool:
+        """Return whether a worker that shed a request had reported free slots.
+
+        Such a contradiction halves the weight of the worker's reports.
+        """
         report = self._report
-        if report is None or report.is_full or not self._weight(now):
+        if report is None or report.is_full or not self._report_weight(now):
             return False
-        self.trust *= CONTRADICTION_FACTOR
+        self.trust *= TRUST_DECREASE_FACTOR
         return True
 
     def accept_report(self, report: LoadReport) -> bool:
         """Replace the load report.
 
-        :return: whether it contradicts the outcomes since the last one.
+        :return: whether it contradicts the outcomes since the previous report.
         """
         answered = self._answers_since_report
-        # A full worker sheds, so that several answers in time refute a report
-        # that says full before and after them.
+        # A full worker sheds requests. Several answers between two reports of
+        # a full worker therefore refute the reports.
         was_full = self._report is not None and self._report.is_full
-        refuted = was_full and report.is_full and answered >= ANSWERS_AGAINST_FULL
+        refuted = was_full and report.is_full and answered >= ANSWERS_TO_REFUTE_FULL
         self._report = report
         self._answers_since_report = 0
         if refuted:
-            self.trust *= CONTRADICTION_FACTOR
+            self.trust *= TRUST_DECREASE_FACTOR
         else:
-            self.trust = min(1.0, self.trust + CONSISTENCY_STEP)
+            self.trust = min(1.0, self.trust + TRUST_RECOVERY_STEP)
         return refuted
 
     def start_cold(self, now: timedelta) -> None:
-        """Start the ramp of a worker that is new or has come back."""
+        """Start the ramp-up of a worker that is new or usable again."""
         self.cold_since = now
         self._failure_share = 0.0
         self.failures_in_row = 0
 
-    def _reported_elsewhere(self, now: timedelta) -> float:
+    def _reported_by_others(self, now: timedelta) -> float:
         if self._report is None:
             return 0.0
-        return self._weight(now) * max(0, self._report.running - self.in_flight)
+        return self._report_weight(now) * max(0, self._report.running - self.in_flight)
 
-    def _weight(self, now: timedelta) -> float:
+    def _report_weight(self, now: timedelta) -> float:
         if self._report is None:
             return 0.0
         age = now - self._report.at
@@ -178,4 +188,4 @@
         if share >= 1:
             self.cold_since = None
             return 1.0
-        return max(COLD_SHARE, share)
+        return max(MIN_RAMP_SHARE, share)
--- a/packages/policies/src/sycamorenotch_policies/_worker_table.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_table.py
@@ -1,4 +1,4 @@
-"""The workers of one service, grouped by region for constant-time draws."""
+"""Workers of one service, grouped by region for random choice in constant time."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 from sycamorenotch_policies._worker_state import WorkerState
 
 FAILURES_TO_EJECT = 3
-EJECTED_SHARE = 0.5
-EJECTION_BASE = timedelta(seconds=5)
-EJECTION_LIMIT = timedelta(seconds=60)
-MAXIMUM_DOUBLINGS = 4
+MAX_EJECTED_SHARE = 0.5
+BASE_EJECTION_TIME = timedelta(seconds=5)
+MAX_EJECTION_TIME = timedelta(seconds=60)
+MAX_DOUBLINGS = 4
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class ChoiceSetup:
-    """What an upstream choice is built from.
+    """Dependencies and parameters of an upstream choice.
 
     :param region: the instance's own region.
-    :param service_time: usual time of one request in a slot.
+    :param service_time: expected service time of one request.
     :param instances: number of instances that share each worker's connections.
     """
 
@@ -55,20 +55,20 @@
 
 @final
 class _UsableWorkers:
-    """A list with removal in constant time."""
+    """List of workers with removal in constant time."""
 
     def __init__(self) -> None:
         self.items: list[WorkerState] = []
         self._index: dict[str, int] = {}
 
     def add(self, state: WorkerState) -> None:
-        """Add a worker; the call is idempotent."""
+        """Add a worker unless it is already present."""
         if state.worker.name not in self._index:
             self._index[state.worker.name] = len(self.items)
             self.items.append(state)
 
     def discard(self, state: WorkerState) -> None:
-        """Remove a worker by moving the last one to its place."""
+        """Remove a worker if present; the last one takes its position."""
         index = self._index.pop(state.worker.name, None)
         if index is None:
             return
@@ -80,7 +80,7 @@
 
 @final
 class WorkerTable:
-    """States of the workers of a service and which of them are usable."""
+    """Per-worker state of one service, with outlier ejection and probing."""
 
     def __init__(self, setup: ChoiceSetup) -> None:
         self._setup = setup
@@ -90,21 +90,21 @@
         self.states: dict[str, WorkerState] = {}
 
     def update(self, workers: Iterable[Worker], now: timedelta) -> None:
-        """Replace the set of workers and keep what is known of the others.
+        """Replace the set of workers and keep the state of unchanged ones.
 
-        Workers of the first set are taken as warm; later ones start cold.
+        Workers of the first set are assumed to be warm; later ones start cold.
         """
-        first = not self.states
+        is_first = not self.states
         wanted = {worker.name: worker for worker in workers}
         for name in self.states.keys() - wanted.keys():
             self._remove(self.states.pop(name))
         for worker in wanted.values():
             known = self.states.get(worker.name)
             if known is None or known.worker != worker:
-                self._replace(worker, None if first else now)
+                self._replace(worker, None if is_first else now)
 
     def resize(self, instances: int) -> None:
-        """Split the connections of each worker over a number of instances."""
+        """Divide the connections of each worker among a number of instances."""
         self._instances = max(1, instances)
         for state in self.states.values():
             state.connections = self._connections(state.worker)
@@ -112,8 +112,8 @@
     def set_quotas(self, region: str, quotas: Mapping[str, int]) -> None:
         """Bound the requests in flight on each worker of a region.
 
-        A worker without a quota may still run one request, so that a worker
-        that comes back is found before the next plan.
+        A worker without a quota may still run one request, so that its recovery
+        is detected before the next plan.
         """
         for state in self.usable(region):
             state.quota = max(1, quotas.get(state.worker.name, 0))
@@ -133,14 +133,15 @@
         return sum(state.worker.slots for state in usable)
 
     def usable(self, region: str) -> list[WorkerState]:
-        """Return the usable workers of a region; the list is not a copy."""
+        """Return the usable workers of a region; callers must not change the list."""
         found = self._usable.get(region)
         return [] if found is None else found.items
 
     def start(self, state: WorkerState, now: timedelta) -> bool:
         """Count a new request on a worker.
 
-        :return: whether the worker may get it.
+        :return: whether the worker may get the request; false if it has been
+            leaving for too long.
         """
         since = state.leaving_since
         allowed = since is None or now - since <= self._setup.bounds.leaving
@@ -158,13 +159,13 @@
         now: timedelta,
         cause: str | None,
     ) -> None:
-        """Count the end of a request and eject or readmit the worker."""
+        """Record the outcome of a request and eject or readmit the worker."""
         state = self.states.get(name)
-        # A worker that was removed and added again has forgotten its requests.
+        # A worker that was removed and added again starts with no requests.
         if state is None or not state.in_flight:
             return
         state.finish(latency, outcome, cause)
-        if outcome is Outcome.SHED and state.contradicts_room(now):
+        if outcome is Outcome.SHED and state.shed_contradicts_report(now):
             self._setup.sink.emit(LoadReportContradicted(name, round(state.trust, 3)))
         if state.probing and outcome is not Outcome.CANCELLED:
             self._finish_probe(state, outcome, now)
@@ -172,14 +173,14 @@
             self._eject(state, now)
 
     def report(self, report: LoadReport) -> None:
-        """Take in a load report."""
+        """Record a load report."""
         state = self.states.get(report.worker)
         if state is not None and state.accept_report(report):
             contradicted = LoadReportContradicted(report.worker, round(state.trust, 3))
             self._setup.sink.emit(contradicted)
 
     def mark_leaving(self, name: str, now: timedelta) -> None:
-        """Take a leaving worker out of use at once."""
+        """Stop sending new requests to a worker that is leaving."""
         state = self.states.get(name)
         if state is None or state.leaving_since is not None:
             return
@@ -196,7 +197,7 @@
         self._readmit(state, now)
 
     def wake(self, now: timedelta) -> None:
-        """Let ejected workers whose time is over get a probe."""
+        """Start probing the workers whose ejection time is over."""
         while self._ejected and self._ejected[0][0] <= now:
             until, name = heappop(self._ejected)
             state = self.states.get(name)
@@ -254,13 +255,13 @@
         name, region = state.worker.name, state.worker.region
         deployed = [s for s in self.states.values() if s.worker.region == region]
         ejected = sum(s.ejected_until is not None for s in deployed)
-        if ejected + 1 > len(deployed) * EJECTED_SHARE:
+        if ejected + 1 > len(deployed) * MAX_EJECTED_SHARE:
             state.failures_in_row = 0
             self._setup.sink.emit(EjectionBounded(name, ejected, len(deployed)))
             return
-        doublings = min(state.ejections, MAXIMUM_DOUBLINGS)
-        period = min(EJECTION_LIMIT, EJECTION_BASE * 2**doublings)
-        # Jitter keeps the instances from probing a worker at the same moment.
+        doublings = min(state.ejections, MAX_DOUBLINGS)
+        period = min(MAX_EJECTION_TIME, BASE_EJECTION_TIME * 2**doublings)
+        # Jitter keeps the instances from probing a worker at the same time.
         period *= 1 + self._setup.random.random() / 4
         state.ejected_until = now + period
         state.ejections += 1
--- a/packages/policies/src/sycamorenotch_policies/plugins.py
+++ b/packages/policies/src/sycamorenotch_policies/plugins.py
@@ -1,4 +1,4 @@
-"""Imports the modules that register policies."""
+"""Imports the modules of this package, whose decorators register policies."""
 
 from __future__ import annotations
 
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -83,13 +83,13 @@
 
 def test_first_owner_is_kept_when_its_slots_are_full(book) -> None:
     first = choose(book)
-    first.view.open_since = [9.9] * SLOTS
+    first.view.in_flight_since = [9.9] * SLOTS
     assert choose(book).view is first.view
 
 
 def test_second_owner_is_the_same_for_all_when_the_first_has_a_long_queue(book) -> None:
     first = choose(book)
-    first.view.open_since = [9.9] * 2 * SLOTS
+    first.view.in_flight_since = [9.9] * 2 * SLOTS
     west, east = (choose(book, region=region) for region in ("west", "east"))
     assert west.view is east.view
     assert west.view is not first.view
@@ -97,7 +97,7 @@
 
 def test_no_room_when_every_owner_has_a_long_queue(book) -> None:
     for view in book.known("s"):
-        view.open_since = [9.9] * 10 * SLOTS
+        view.in_flight_since = [9.9] * 10 * SLOTS
     refused = choose(book)
     assert isinstance(refused, NoRoom)
     assert refused.retry_after_s > 0
