--- a/testing/policies/test_admission.py
+++ b/testing/policies/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of ranked admission under floods and deadlines."""
+"""Tests of ranked admission under overload and with deadlines."""
 
 from __future__ import annotations
 
@@ -25,28 +25,28 @@
 from sycamorenotch_policies import Refused
 from sycamorenotch_policies import Ticket
 
-STEP = timedelta(milliseconds=10)
-NUMBERS = count()
+SERVICE_TIME = timedelta(milliseconds=10)
+TICKET_IDS = count()
 
 
 def ticket(rank: Rank, now: timedelta, seconds: float = 1.0) -> Ticket:
-    return Ticket(str(next(NUMBERS)), rank, now + timedelta(seconds=seconds))
+    return Ticket(str(next(TICKET_IDS)), rank, now + timedelta(seconds=seconds))
 
 
 def run_flood(
     admission: RankedAdmission, arrivals: dict[Rank, int], steps: int
 ) -> Counter[Rank]:
-    """Offer the arrivals in each step and serve every slot in one step."""
+    """Offer the arrivals in each step; every admitted request takes one step."""
     now = timedelta()
     running: list[Ticket] = []
     started: Counter[Rank] = Counter()
     for _ in range(steps):
-        now += STEP
+        now += SERVICE_TIME
         finished, running = running, []
         decisions = [
             decision
             for done in finished
-            for decision in admission.release(done, STEP, Outcome.ANSWERED, now)
+            for decision in admission.release(done, SERVICE_TIME, Outcome.ANSWERED, now)
         ]
         decisions += [
             admission.offer(ticket(rank, now), now)
@@ -71,12 +71,12 @@
     assert total >= 0.98 * slots * steps
     shares = {rank: started[rank] / total for rank in Rank}
     floors = {rank: policy.floor for rank, policy in setup.ranks.items()}
-    # The first requests are admitted before any rank waits.
+    # The first requests are admitted while no rank is queued yet.
     assert all(shares[rank] >= 0.98 * floors[rank] for rank in Rank)
     assert shares[Rank.URGENT] >= 0.55
 
 
-def test_urgent_rank_is_served_whole_when_it_fits_beside_a_flood(
+def test_urgent_rank_is_fully_served_when_deferrable_rank_floods(
     admission_setup,
 ) -> None:
     admission = RankedAdmission(admission_setup(10))
@@ -84,7 +84,7 @@
     assert started[Rank.URGENT] >= 5 * 498
 
 
-def test_idle_floors_are_used_when_no_other_rank_waits(admission_setup) -> None:
+def test_all_slots_are_used_when_only_one_rank_has_requests(admission_setup) -> None:
     started = run_flood(RankedAdmission(admission_setup(8)), {Rank.DEFERRABLE: 8}, 100)
     assert started[Rank.DEFERRABLE] == 800
 
@@ -109,7 +109,7 @@
     assert admission.queued == kinds[Queued]
 
 
-def test_oldest_hopeless_request_is_refused_first_when_a_slot_is_late(
+def test_expired_request_at_queue_head_is_refused_when_slot_is_released_late(
     admission_setup,
 ) -> None:
     admission, now = RankedAdmission(admission_setup(1)), timedelta()
@@ -119,28 +119,33 @@
     new = ticket(Rank.STANDARD, now, 0.5)
     assert all(isinstance(admission.offer(t, now), Queued) for t in (old, new))
     later = timedelta(seconds=0.2)
-    refused, admitted = admission.release(first, STEP, Outcome.ANSWERED, later)
+    refused, admitted = admission.release(first, SERVICE_TIME, Outcome.ANSWERED, later)
     assert isinstance(refused, Refused) and refused.ticket == old
     assert admitted == Admitted(new)
 
 
-def test_expiry_refuses_a_request_behind_a_patient_one(admission_setup) -> None:
+def test_expiry_refuses_request_behind_one_with_long_deadline(admission_setup) -> None:
     admission, now = RankedAdmission(admission_setup(1)), timedelta()
     admission.offer(ticket(Rank.STANDARD, now), now)
-    patient, hasty = ticket(Rank.STANDARD, now, 9), ticket(Rank.STANDARD, now, 0.1)
-    admission.offer(patient, now)
-    admission.offer(hasty, now)
+    long_deadline, short_deadline = (
+        ticket(Rank.STANDARD, now, 9),
+        ticket(Rank.STANDARD, now, 0.1),
+    )
+    admission.offer(long_deadline, now)
+    admission.offer(short_deadline, now)
     (decision,) = admission.expire(timedelta(seconds=0.2))
-    assert isinstance(decision, Refused) and decision.ticket == hasty
+    assert isinstance(decision, Refused) and decision.ticket == short_deadline
 
 
-def test_cancelled_request_gives_up_its_place(admission_setup) -> None:
+def test_cancelled_request_leaves_the_queue(admission_setup) -> None:
     admission, now = RankedAdmission(admission_setup(1)), timedelta()
-    first, gone, last = (ticket(Rank.STANDARD, now) for _ in range(3))
-    for item in (first, gone, last):
+    first, cancelled, last = (ticket(Rank.STANDARD, now) for _ in range(3))
+    for item in (first, cancelled, last):
         admission.offer(item, now)
-    admission.cancel(gone)
-    assert admission.release(first, STEP, Outcome.CANCELLED, now) == (Admitted(last),)
+    admission.cancel(cancelled)
+    assert admission.release(first, SERVICE_TIME, Outcome.CANCELLED, now) == (
+        Admitted(last),
+    )
 
 
 def test_queued_requests_are_admitted_when_the_grant_grows(admission_setup) -> None:
@@ -171,21 +176,23 @@
 @settings(max_examples=50)
 @given(
     slots=st.integers(1, 6),
-    moves=st.lists(st.tuples(st.sampled_from(Rank), st.integers(0, 30)), max_size=120),
+    arrivals=st.lists(
+        st.tuples(st.sampled_from(Rank), st.integers(0, 30)), max_size=120
+    ),
 )
-def test_slots_in_use_stay_within_the_grant(
-    slots: int, moves: list[tuple[Rank, int]]
+def test_running_requests_stay_within_the_grant(
+    slots: int, arrivals: list[tuple[Rank, int]]
 ) -> None:
     ranks = {r: RankPolicy(r, 1.0, 0.3, timedelta(seconds=1)) for r in Rank}
     monitor = InvariantMonitor(EventList(), strict=True)
-    setup = AdmissionSetup(slots, ranks, STEP, monitor)
+    setup = AdmissionSetup(slots, ranks, SERVICE_TIME, monitor)
     admission, now, running = RankedAdmission(setup), timedelta(), []
-    for rank, milliseconds in moves:
+    for rank, milliseconds in arrivals:
         now += timedelta(milliseconds=milliseconds)
         decisions = [admission.offer(ticket(rank, now, 0.05), now)]
         if running and milliseconds % 2:
             done = running.pop(0)
-            decisions += admission.release(done, STEP, Outcome.ANSWERED, now)
+            decisions += admission.release(done, SERVICE_TIME, Outcome.ANSWERED, now)
         decisions += admission.expire(now)
         running += [d.ticket for d in decisions if isinstance(d, Admitted)]
         assert len(running) == sum(admission.running.values()) <= slots
--- a/testing/policies/test_burn.py
+++ b/testing/policies/test_burn.py
@@ -49,7 +49,7 @@
         st.tuples(st.integers(0, 400_000), st.booleans(), st.booleans()), max_size=60
     )
 )
-def test_windows_hold_what_a_full_list_holds(
+def test_windowed_counts_match_counts_of_full_list(
     requests: list[tuple[int, bool, bool]],
 ) -> None:
     counts = WindowedCounts()
--- a/testing/policies/test_quarantine.py
+++ b/testing/policies/test_quarantine.py
@@ -12,7 +12,9 @@
 OTHER = sign_request("balance", "GET", "/balances/2", b"")
 
 
-def strike(quarantine: Quarantine, number: int, now: timedelta = NOW) -> list[bool]:
+def record_strikes(
+    quarantine: Quarantine, number: int, now: timedelta = NOW
+) -> list[bool]:
     return [quarantine.record_strike(POISON, f"w{n}", now) for n in range(number)]
 
 
@@ -21,9 +23,9 @@
     assert len({sign_request(*item) for item in parts}) == 3
 
 
-def test_request_is_held_back_when_three_workers_were_lost() -> None:
+def test_request_is_quarantined_when_three_workers_were_lost() -> None:
     quarantine = Quarantine("a")
-    assert strike(quarantine, 3) == [False, False, True]
+    assert record_strikes(quarantine, 3) == [False, False, True]
     assert quarantine.remaining(POISON, NOW) == timedelta(minutes=10)
     assert quarantine.remaining(OTHER, NOW) is None
     assert quarantine.remaining(POISON, NOW + timedelta(minutes=10)) is None
@@ -31,33 +33,33 @@
 
 def test_request_is_cleared_when_it_is_answered() -> None:
     quarantine = Quarantine("a")
-    strike(quarantine, 2)
+    record_strikes(quarantine, 2)
     quarantine.record_answer(POISON)
-    assert strike(quarantine, 2) == [False, False]
+    assert record_strikes(quarantine, 2) == [False, False]
 
 
 def test_old_strikes_do_not_count() -> None:
     quarantine = Quarantine("a")
-    strike(quarantine, 2)
-    assert strike(quarantine, 1, NOW + timedelta(minutes=6)) == [False]
+    record_strikes(quarantine, 2)
+    assert record_strikes(quarantine, 1, NOW + timedelta(minutes=6)) == [False]
 
 
-def test_request_is_held_back_elsewhere_when_strikes_are_exchanged() -> None:
-    seen, other = Quarantine("a"), Quarantine("b")
-    strike(seen, 2)
-    strike(other, 1)
-    assert other.merge(seen.strikes_since(0, NOW), NOW) == 1
-    assert other.merge(seen.strikes_since(0, NOW), NOW) == 0
-    assert other.remaining(POISON, NOW) is not None
-    assert [item.sequence for item in seen.strikes_since(1, NOW)] == [2]
+def test_request_is_quarantined_on_peer_when_strikes_are_exchanged() -> None:
+    first, peer = Quarantine("a"), Quarantine("b")
+    record_strikes(first, 2)
+    record_strikes(peer, 1)
+    assert peer.merge(first.strikes_since(0, NOW), NOW) == 1
+    assert peer.merge(first.strikes_since(0, NOW), NOW) == 0
+    assert peer.remaining(POISON, NOW) is not None
+    assert [item.sequence for item in first.strikes_since(1, NOW)] == [2]
 
 
 def test_repeated_exchange_counts_each_strike_once() -> None:
-    seen, other = Quarantine("a"), Quarantine("b")
-    strike(seen, 1)
+    first, peer = Quarantine("a"), Quarantine("b")
+    record_strikes(first, 1)
     for _ in range(5):
-        other.merge(seen.strikes_since(0, NOW), NOW)
-    assert other.remaining(POISON, NOW) is None
+        peer.merge(first.strikes_since(0, NOW), NOW)
+    assert peer.remaining(POISON, NOW) is None
 
 
 def test_memory_is_bounded_when_every_request_is_different() -> None:
--- a/testing/policies/test_retry.py
+++ b/testing/policies/test_retry.py
@@ -23,10 +23,10 @@
     ran: Ran = Ran.UNKNOWN,
     idempotent: bool = True,
     number: int = 1,
-    left: float = 1.0,
+    remaining_s: float = 1.0,
 ) -> FailedAttempt:
     failure = Failure(kind, "it failed", ran)
-    deadline = NOW + timedelta(seconds=left)
+    deadline = NOW + timedelta(seconds=remaining_s)
     service_time = timedelta(milliseconds=10)
     return FailedAttempt(number, idempotent, failure, deadline, service_time)
 
@@ -42,15 +42,15 @@
         (attempt(ErrorKind.DEADLINE_PASSED), False),
         (attempt(ErrorKind.OVERLOADED, Ran.NO), False),
         (attempt(number=3), False),
-        (attempt(left=0.005), False),
+        (attempt(remaining_s=0.005), False),
     ],
 )
-def test_retry_follows_only_when_it_is_safe_and_useful(failed, retried) -> None:
+def test_attempt_is_retried_only_when_safe_and_useful(failed, retried) -> None:
     decision = BudgetedRetry(Random(1)).decide(failed, NOW)
     assert isinstance(decision, Retry) == retried
 
 
-def test_retries_stay_within_a_share_of_first_attempts() -> None:
+def test_retries_stay_within_budget_of_first_attempts() -> None:
     rule = BudgetedRetry(Random(1))
     retried = 0
     for _ in range(1000):
@@ -60,7 +60,7 @@
     assert rule.decide(attempt(), NOW) == GiveUp("the retry budget is used up")
 
 
-def test_delays_are_spread_over_the_whole_range() -> None:
+def test_delays_are_jittered_over_the_full_range() -> None:
     decisions = [BudgetedRetry(Random(n)).decide(attempt(), NOW) for n in range(200)]
     delays = sorted(decision.delay for decision in decisions)
     assert delays[0] < timedelta(milliseconds=2)
--- a/testing/policies/test_retry_allowance.py
+++ b/testing/policies/test_retry_allowance.py
@@ -1,4 +1,4 @@
-"""Tests of an instance's share of the retries."""
+"""Tests of the retry budget of an instance."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 0.5), st.booleans()), max_size=400))
-def test_retries_stay_within_bound_in_every_window(steps) -> None:
+def test_retries_stay_within_limit_in_every_window(steps) -> None:
     instances = 3
     allowance = RetryAllowance(lambda: TERMS)
     now = 0.0
-    first: list[float] = []
-    again: list[float] = []
+    first_attempts: list[float] = []
+    retries_sent: list[float] = []
     for pause, retry in steps:
         now += pause
         if not retry:
             allowance.requested("s", now)
-            first.append(now)
+            first_attempts.append(now)
         elif allowance.take("s", now, instances):
-            again.append(now)
-    for end in again:
-        retries = sum(end - TERMS.window_s < t <= end for t in again)
-        requests = sum(end - TERMS.window_s < t <= end for t in first)
+            retries_sent.append(now)
+    for end in retries_sent:
+        retries = sum(end - TERMS.window_s < t <= end for t in retries_sent)
+        requests = sum(end - TERMS.window_s < t <= end for t in first_attempts)
         assert retries <= TERMS.ratio * requests + TERMS.extra / instances
 
 
-def test_retry_is_denied_when_share_is_used() -> None:
+def test_retry_is_denied_when_share_is_used_up() -> None:
     allowance = RetryAllowance(lambda: RetryTerms(0.0, 10.0, 10.0))
     taken = sum(allowance.take("s", 1.0, 2) for _ in range(20))
     assert taken == 4
