--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -36,8 +36,8 @@
 from sycamorenotch_policies import NoRoom
 from sycamorenotch_policies import RetryAllowance
 from sycamorenotch_policies import RetryTerms
-from sycamorenotch_policies import Wanted
 from sycamorenotch_policies import WorkerChoice
+from sycamorenotch_policies import WorkerRequest
 from sycamorenotch_policies import pick_service
 from sycamorenotch_policies import unit_interval
 
@@ -158,7 +158,7 @@
             if deadline - now < LEAST_REMAINING_S:
                 late = Refusal(ErrorKind.DEADLINE_PASSED, Ran.NO, "the time ran out")
                 return Error(late) if result is None else result
-            wanted = Wanted(
+            wanted = WorkerRequest(
                 route, progress.service, call.object_key, frozenset(progress.tried)
             )
             views = self._workers.book.usable(progress.service, now)
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -119,8 +119,8 @@
 from sycamorenotch_policies._worker_book import WorkerView
 from sycamorenotch_policies._worker_choice import Chosen
 from sycamorenotch_policies._worker_choice import NoRoom
-from sycamorenotch_policies._worker_choice import Wanted
 from sycamorenotch_policies._worker_choice import WorkerChoice
+from sycamorenotch_policies._worker_choice import WorkerRequest
 from sycamorenotch_policies._worker_state import LoadReport
 from sycamorenotch_policies._worker_state import WorkerState
 from sycamorenotch_policies._worker_table import ChoiceSetup
@@ -222,11 +222,11 @@
     "UpstreamChoice",
     "UsageMeter",
     "WaitForClaim",
-    "Wanted",
     "WindowedCounts",
     "WorkerBook",
     "WorkerChoice",
     "WorkerReport",
+    "WorkerRequest",
     "WorkerState",
     "WorkerTable",
     "WorkerView",
--- a/packages/policies/src/sycamorenotch_policies/_worker_choice.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_choice.py
@@ -30,7 +30,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class WorkerRequest:
     """A request that needs a worker.
 
     :param object_key: affinity key; without one the worker is chosen at random.
@@ -74,7 +74,7 @@
     """Strategy that chooses a worker for each request."""
 
     def choose(
-        self, wanted: Wanted, views: tuple[WorkerView, ...], now: float
+        self, wanted: WorkerRequest, views: tuple[WorkerView, ...], now: float
     ) -> Chosen | NoRoom:
         """Choose among the usable workers of the service.
 
@@ -112,7 +112,7 @@
         self._random = random
 
     def choose(
-        self, wanted: Wanted, views: tuple[WorkerView, ...], now: float
+        self, wanted: WorkerRequest, views: tuple[WorkerView, ...], now: float
     ) -> Chosen | NoRoom:
         """Choose among the usable workers of the service.
 
@@ -148,7 +148,9 @@
             return False
         return view.sent_last_second(now) + 1 <= rate
 
-    def _owners(self, wanted: Wanted, views: list[WorkerView]) -> list[WorkerView]:
+    def _owners(
+        self, wanted: WorkerRequest, views: list[WorkerView]
+    ) -> list[WorkerView]:
         key = wanted.object_key
         if not key or not wanted.route.sticky:
             key = str(self._random.random())
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -15,8 +15,8 @@
 from sycamorenotch_kernel import worker_choices
 from sycamorenotch_policies import Chosen
 from sycamorenotch_policies import NoRoom
-from sycamorenotch_policies import Wanted
 from sycamorenotch_policies import WorkerBook
+from sycamorenotch_policies import WorkerRequest
 
 REGIONS = {"a": "west", "b": "east"}
 SLOTS = 4
@@ -54,7 +54,7 @@
     region = kwargs.pop("region", "west")
     may_warm_up = kwargs.pop("may_warm_up", True)
     tried = kwargs.pop("tried", frozenset())
-    wanted = Wanted(make_route(**kwargs), "s", key, tried)
+    wanted = WorkerRequest(make_route(**kwargs), "s", key, tried)
     choice = make_choice(book, region, may_warm_up)
     return choice.choose(wanted, book.usable("s", now), now)
 
