--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -21,7 +21,7 @@
 from sycamorenotch_kernel import Ran
 from sycamorenotch_kernel import Verdict
 from sycamorenotch_kernel import WorkerReply
-from sycamorenotch_policies import Chosen
+from sycamorenotch_policies import ChosenWorker
 from sycamorenotch_policies import WorkerView
 from sycamorenotch_transport import ExchangeError
 from sycamorenotch_transport import HttpResponse
@@ -64,7 +64,7 @@
         self,
         call: ForwardCall,
         route: ForwardingRoute,
-        chosen: Chosen,
+        chosen: ChosenWorker,
         deadline: float,
     ) -> Outcome:
         """Send a request and wait for the answer or the deadline.
@@ -176,7 +176,7 @@
         return Outcome(Ran.UNKNOWN if error.sent else Ran.NO, str(error))
 
     def _note(
-        self, call: ForwardCall, chosen: Chosen, outcome: Outcome, seconds: float
+        self, call: ForwardCall, chosen: ChosenWorker, outcome: Outcome, seconds: float
     ) -> None:
         view = chosen.view
         reply = outcome.reply
--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -32,7 +32,7 @@
 from sycamorenotch_kernel import WorkerReply
 from sycamorenotch_kernel import gateway_components
 from sycamorenotch_kernel import worker_choices
-from sycamorenotch_policies import Chosen
+from sycamorenotch_policies import ChosenWorker
 from sycamorenotch_policies import NoRoom
 from sycamorenotch_policies import RetryAllowance
 from sycamorenotch_policies import RetryTerms
@@ -178,7 +178,7 @@
         self,
         call: ForwardCall,
         route: ForwardingRoute,
-        chosen: Chosen,
+        chosen: ChosenWorker,
         progress: _Progress,
         deadline: float,
     ) -> Outcome:
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -117,7 +117,7 @@
 from sycamorenotch_policies._usage_meter import UsageMeter
 from sycamorenotch_policies._worker_book import WorkerBook
 from sycamorenotch_policies._worker_book import WorkerView
-from sycamorenotch_policies._worker_choice import Chosen
+from sycamorenotch_policies._worker_choice import ChosenWorker
 from sycamorenotch_policies._worker_choice import NoRoom
 from sycamorenotch_policies._worker_choice import WorkerChoice
 from sycamorenotch_policies._worker_choice import WorkerRequest
@@ -142,7 +142,7 @@
     "BudgetedRetry",
     "Choice",
     "ChoiceSetup",
-    "Chosen",
+    "ChosenWorker",
     "Claim",
     "ClaimCommand",
     "ClaimConflict",
--- a/packages/policies/src/sycamorenotch_policies/_worker_choice.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_choice.py
@@ -45,7 +45,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Chosen:
+class ChosenWorker:
     """The worker chosen for a request.
 
     :param load: estimated requests per slot, running and queued.
@@ -75,7 +75,7 @@
 
     def choose(
         self, wanted: WorkerRequest, views: tuple[WorkerView, ...], now: float
-    ) -> Chosen | NoRoom:
+    ) -> ChosenWorker | NoRoom:
         """Choose among the usable workers of the service.
 
         :param now: monotonic time in seconds.
@@ -113,7 +113,7 @@
 
     def choose(
         self, wanted: WorkerRequest, views: tuple[WorkerView, ...], now: float
-    ) -> Chosen | NoRoom:
+    ) -> ChosenWorker | NoRoom:
         """Choose among the usable workers of the service.
 
         :param now: monotonic time in seconds.
@@ -133,7 +133,7 @@
         for index, view in enumerate(owners):
             load = view.load(now) / view.entry.slots
             if load < MAX_LOAD_PER_SLOT:
-                return Chosen(view, load, f"owner {index + 1} of {len(owners)}")
+                return ChosenWorker(view, load, f"owner {index + 1} of {len(owners)}")
         first = owners[0]
         excess = first.load(now) / first.entry.slots - MAX_LOAD_PER_SLOT
         wait = excess * (first.latency_s or DEFAULT_SERVICE_S)
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -13,7 +13,7 @@
 from sycamorenotch_kernel import WeightedService
 from sycamorenotch_kernel import WorkerEntry
 from sycamorenotch_kernel import worker_choices
-from sycamorenotch_policies import Chosen
+from sycamorenotch_policies import ChosenWorker
 from sycamorenotch_policies import NoRoom
 from sycamorenotch_policies import WorkerBook
 from sycamorenotch_policies import WorkerRequest
@@ -121,7 +121,7 @@
     only.limits.update(book.limits)
     only.put(entry("a0", cold_s=5.0), 0.0)
     sent = 0
-    while isinstance(found := choose(only, now=1.0), Chosen):
+    while isinstance(found := choose(only, now=1.0), ChosenWorker):
         found.view.started(1.0)
         found.view.ended(1.0)
         sent += 1
