--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -33,7 +33,7 @@
 from sycamorenotch_kernel import gateway_components
 from sycamorenotch_kernel import worker_choices
 from sycamorenotch_policies import ChosenWorker
-from sycamorenotch_policies import NoRoom
+from sycamorenotch_policies import NoCapacity
 from sycamorenotch_policies import RetryAllowance
 from sycamorenotch_policies import RetryTerms
 from sycamorenotch_policies import WorkerChoice
@@ -163,7 +163,7 @@
             )
             views = self._workers.book.usable(progress.service, now)
             choice = self._choice.choose(wanted, views, now)
-            if isinstance(choice, NoRoom):
+            if isinstance(choice, NoCapacity):
                 if result is not None:
                     return result
                 return Error(self._no_room(choice, now, progress.service))
@@ -197,7 +197,7 @@
             return True
         return self._allowance.take(progress.service, now, self._peers.live_count)
 
-    def _no_room(self, choice: NoRoom, now: float, service: str) -> Refusal:
+    def _no_room(self, choice: NoCapacity, now: float, service: str) -> Refusal:
         detail = f"{choice.reason} ({self._workers.book.census(service, now)})"
         return Refusal(ErrorKind.OVERLOADED, Ran.NO, detail, choice.retry_after_s)
 
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -118,7 +118,7 @@
 from sycamorenotch_policies._worker_book import WorkerBook
 from sycamorenotch_policies._worker_book import WorkerView
 from sycamorenotch_policies._worker_choice import ChosenWorker
-from sycamorenotch_policies._worker_choice import NoRoom
+from sycamorenotch_policies._worker_choice import NoCapacity
 from sycamorenotch_policies._worker_choice import WorkerChoice
 from sycamorenotch_policies._worker_choice import WorkerRequest
 from sycamorenotch_policies._worker_state import LoadReport
@@ -192,7 +192,7 @@
     "Moment",
     "NearestRegion",
     "NeverRetry",
-    "NoRoom",
+    "NoCapacity",
     "Outcome",
     "PeerNews",
     "PlainRetry",
--- a/packages/policies/src/sycamorenotch_policies/_worker_choice.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_choice.py
@@ -59,7 +59,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class NoRoom:
+class NoCapacity:
     """No worker can accept the request now.
 
     :param reason: detail of the refusal.
@@ -75,7 +75,7 @@
 
     def choose(
         self, wanted: WorkerRequest, views: tuple[WorkerView, ...], now: float
-    ) -> ChosenWorker | NoRoom:
+    ) -> ChosenWorker | NoCapacity:
         """Choose among the usable workers of the service.
 
         :param now: monotonic time in seconds.
@@ -113,7 +113,7 @@
 
     def choose(
         self, wanted: WorkerRequest, views: tuple[WorkerView, ...], now: float
-    ) -> ChosenWorker | NoRoom:
+    ) -> ChosenWorker | NoCapacity:
         """Choose among the usable workers of the service.
 
         :param now: monotonic time in seconds.
@@ -127,7 +127,7 @@
             and self._accepts_more(view, now)
         ]
         if not allowed:
-            return NoRoom("no worker of the service is usable", MIN_RETRY_AFTER_S)
+            return NoCapacity("no worker of the service is usable", MIN_RETRY_AFTER_S)
         responsive = [view for view in allowed if now < view.silent_at()]
         owners = self._owners(wanted, responsive or allowed)
         for index, view in enumerate(owners):
@@ -137,7 +137,7 @@
         first = owners[0]
         excess = first.load(now) / first.entry.slots - MAX_LOAD_PER_SLOT
         wait = excess * (first.latency_s or DEFAULT_SERVICE_S)
-        return NoRoom("every owner has a long queue", max(MIN_RETRY_AFTER_S, wait))
+        return NoCapacity("every owner has a long queue", max(MIN_RETRY_AFTER_S, wait))
 
     def _accepts_more(self, view: WorkerView, now: float) -> bool:
         if now >= view.cold_until:
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -14,7 +14,7 @@
 from sycamorenotch_kernel import WorkerEntry
 from sycamorenotch_kernel import worker_choices
 from sycamorenotch_policies import ChosenWorker
-from sycamorenotch_policies import NoRoom
+from sycamorenotch_policies import NoCapacity
 from sycamorenotch_policies import WorkerBook
 from sycamorenotch_policies import WorkerRequest
 
@@ -99,7 +99,7 @@
     for view in book.known("s"):
         view.in_flight_since = [9.9] * 10 * SLOTS
     refused = choose(book)
-    assert isinstance(refused, NoRoom)
+    assert isinstance(refused, NoCapacity)
     assert refused.retry_after_s > 0
 
 
@@ -131,7 +131,7 @@
 def test_cold_worker_gets_no_requests_when_another_instance_warms_it_up(book) -> None:
     only = WorkerBook(REGIONS.__getitem__)
     only.put(entry("a0", cold_s=5.0), 0.0)
-    assert isinstance(choose(only, now=1.0, may_warm_up=False), NoRoom)
+    assert isinstance(choose(only, now=1.0, may_warm_up=False), NoCapacity)
 
 
 def test_load_report_counts_other_instances_until_it_is_stale(book) -> None:
