--- a/packages/gateway/src/sycamorenotch_gateway/_workers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_workers.py
@@ -23,7 +23,7 @@
 from sycamorenotch_kernel import WorkerEntry
 from sycamorenotch_kernel import gateway_components
 from sycamorenotch_policies import IdleTrust
-from sycamorenotch_policies import WorkerBook
+from sycamorenotch_policies import WorkerDirectory
 from sycamorenotch_policies import WorkerView
 from sycamorenotch_transport import Http1Pool
 
@@ -46,7 +46,9 @@
 
     def __init__(self, node: GatewayNode) -> None:
         self._node = node
-        self.book = WorkerBook(lambda place: node.settings.placement.region_of(place))
+        self.book = WorkerDirectory(
+            lambda place: node.settings.placement.region_of(place)
+        )
         self._pools: dict[str, Http1Pool] = {}
         self._trust: dict[str, IdleTrust] = {}
         self._follower = Follower(node, Topic.WORKERS, self._receive)
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -115,12 +115,12 @@
 from sycamorenotch_policies._steering_view import SteeringView
 from sycamorenotch_policies._steering_view import WorkerReport
 from sycamorenotch_policies._usage_meter import UsageMeter
-from sycamorenotch_policies._worker_book import WorkerBook
-from sycamorenotch_policies._worker_book import WorkerView
 from sycamorenotch_policies._worker_choice import ChosenWorker
 from sycamorenotch_policies._worker_choice import NoCapacity
 from sycamorenotch_policies._worker_choice import WorkerChoice
 from sycamorenotch_policies._worker_choice import WorkerRequest
+from sycamorenotch_policies._worker_directory import WorkerDirectory
+from sycamorenotch_policies._worker_directory import WorkerView
 from sycamorenotch_policies._worker_state import LoadReport
 from sycamorenotch_policies._worker_state import WorkerState
 from sycamorenotch_policies._worker_table import ChoiceSetup
@@ -223,8 +223,8 @@
     "UsageMeter",
     "WaitForClaim",
     "WindowedCounts",
-    "WorkerBook",
     "WorkerChoice",
+    "WorkerDirectory",
     "WorkerReport",
     "WorkerRequest",
     "WorkerState",
--- a/packages/policies/src/sycamorenotch_policies/_worker_choice.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_choice.py
@@ -14,7 +14,7 @@
 from sycamorenotch_kernel import ServiceLimits
 from sycamorenotch_kernel import worker_choices
 from sycamorenotch_policies._route_table import unit_interval
-from sycamorenotch_policies._worker_book import WorkerView
+from sycamorenotch_policies._worker_directory import WorkerView
 
 # Requests per slot. Behind a longer queue most requests miss their deadline.
 MAX_LOAD_PER_SLOT = 1.5
--- a/packages/policies/src/sycamorenotch_policies/_worker_book.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -142,7 +142,7 @@
 
 
 @final
-class WorkerBook:
+class WorkerDirectory:
     """Known workers of every service, indexed by service.
 
     :param region_of: returns the region of a data centre.
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -15,7 +15,7 @@
 from sycamorenotch_kernel import worker_choices
 from sycamorenotch_policies import ChosenWorker
 from sycamorenotch_policies import NoCapacity
-from sycamorenotch_policies import WorkerBook
+from sycamorenotch_policies import WorkerDirectory
 from sycamorenotch_policies import WorkerRequest
 
 REGIONS = {"a": "west", "b": "east"}
@@ -35,8 +35,8 @@
 
 
 @pytest.fixture
-def book() -> WorkerBook:
-    book = WorkerBook(REGIONS.__getitem__)
+def book() -> WorkerDirectory:
+    book = WorkerDirectory(REGIONS.__getitem__)
     book.limits["s"] = ServiceLimits("s", cold_s=3.0, cold_rate=COLD_RATE)
     for data_centre in "ab":
         for number in range(6):
@@ -44,13 +44,13 @@
     return book
 
 
-def make_choice(book: WorkerBook, region: str = "west", may_warm_up: bool = True):
+def make_choice(book: WorkerDirectory, region: str = "west", may_warm_up: bool = True):
     return worker_choices.get("affinity")(
         region, book.limits, lambda worker: may_warm_up, Random(1)
     )
 
 
-def choose(book: WorkerBook, key: str = "7", now: float = 10.0, **kwargs):
+def choose(book: WorkerDirectory, key: str = "7", now: float = 10.0, **kwargs):
     region = kwargs.pop("region", "west")
     may_warm_up = kwargs.pop("may_warm_up", True)
     tried = kwargs.pop("tried", frozenset())
@@ -117,7 +117,7 @@
 
 
 def test_cold_worker_gets_no_more_than_its_rate(book) -> None:
-    only = WorkerBook(REGIONS.__getitem__)
+    only = WorkerDirectory(REGIONS.__getitem__)
     only.limits.update(book.limits)
     only.put(entry("a0", cold_s=5.0), 0.0)
     sent = 0
@@ -129,7 +129,7 @@
 
 
 def test_cold_worker_gets_no_requests_when_another_instance_warms_it_up(book) -> None:
-    only = WorkerBook(REGIONS.__getitem__)
+    only = WorkerDirectory(REGIONS.__getitem__)
     only.put(entry("a0", cold_s=5.0), 0.0)
     assert isinstance(choose(only, now=1.0, may_warm_up=False), NoCapacity)
 
