--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -198,7 +198,7 @@
         return self._allowance.take(progress.service, now, self._peers.live_count)
 
     def _no_room(self, choice: NoCapacity, now: float, service: str) -> Refusal:
-        detail = f"{choice.reason} ({self._workers.book.census(service, now)})"
+        detail = f"{choice.reason} ({self._workers.book.describe(service, now)})"
         return Refusal(ErrorKind.OVERLOADED, Ran.NO, detail, choice.retry_after_s)
 
     def _record(
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -178,7 +178,7 @@
         """Return the workers of a service, including those in backoff."""
         return self._services.get(service, ())
 
-    def census(self, service: str, now: float) -> str:
+    def describe(self, service: str, now: float) -> str:
         """Describe how many workers a service has and why some get no requests."""
         views = [v for v in self._views.values() if v.entry.service == service]
         counts = {
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -158,10 +158,10 @@
 def test_description_says_why_workers_get_no_requests(book) -> None:
     book.evacuate(frozenset({"a"}), 0.0)
     book.known("s")[0].failed(1.0, 0.0, unreachable=False)
-    text = book.census("s", 1.1)
+    text = book.describe("s", 1.1)
     assert "1 pause after failures" in text
     assert "are in data centres under evacuation" in text
-    assert book.census("none", 1.1) == "0 workers known"
+    assert book.describe("none", 1.1) == "0 workers known"
 
 
 def test_failed_worker_is_not_usable_until_backoff_ends(book) -> None:
