--- a/packages/gateway/src/sycamorenotch_gateway/_workers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_workers.py
@@ -147,7 +147,7 @@
         regained = self._follower.regained_at
         until = -inf if regained is None else regained + RETURN_S
         if now < until and not view.entry.draining and not view.unreachable:
-            self.book.miss(name, until)
+            self.book.mark_missing(name, until)
             return
         self._remove(name, "its entry was removed", revision)
 
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -223,7 +223,7 @@
         if self._views.pop(worker, None) is not None:
             self._rebuild_index()
 
-    def miss(self, worker: str, until: float) -> None:
+    def mark_missing(self, worker: str, until: float) -> None:
         """Keep a worker for now whose entry may only have expired.
 
         :param until: monotonic time at which the worker is removed unless its
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -179,13 +179,13 @@
 
 
 def test_missing_worker_is_kept_until_its_deadline(book) -> None:
-    book.miss("a0", 12.0)
+    book.mark_missing("a0", 12.0)
     assert book.expire(11.9) == ()
     assert book.expire(12.0) == ("a0",)
 
 
 def test_missing_worker_is_kept_when_its_entry_comes_back(book) -> None:
-    book.miss("a0", 12.0)
+    book.mark_missing("a0", 12.0)
     book.put(entry("a0"), 11.0)
     assert book.expire(20.0) == ()
     assert book.get("a0") is not None
