--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -217,7 +217,7 @@
             self._timer.cancel()
 
     def _look(self) -> None:
-        left = self._view.silent_at() - self._node.clock()
+        left = self._view.unresponsive_from() - self._node.clock()
         if left <= 0:
             self.fired = True
             self._exchange.cancel()
--- a/packages/policies/src/sycamorenotch_policies/_worker_choice.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_choice.py
@@ -128,7 +128,7 @@
         ]
         if not allowed:
             return NoCapacity("no worker of the service is usable", MIN_RETRY_AFTER_S)
-        responsive = [view for view in allowed if now < view.silent_at()]
+        responsive = [view for view in allowed if now < view.unresponsive_from()]
         owners = self._owners(wanted, responsive or allowed)
         for index, view in enumerate(owners):
             load = view.load(now) / view.entry.slots
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -77,7 +77,7 @@
             MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_LATENCIES * (self.latency_s or 0.0)
         )
 
-    def silent_at(self) -> float:
+    def unresponsive_from(self) -> float:
         """Return when the worker becomes unresponsive; infinite while it is idle."""
         if not self.in_flight_since:
             return inf
@@ -188,7 +188,7 @@
             ),
             "pause after failures": sum(now < view.paused_until for view in views),
             "have just started": sum(now < view.cold_until for view in views),
-            "are unresponsive": sum(now >= view.silent_at() for view in views),
+            "are unresponsive": sum(now >= view.unresponsive_from() for view in views),
         }
         parts = [f"{count} {what}" for what, count in counts.items() if count]
         return ", ".join([f"{len(views)} workers known", *parts])
