--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -114,7 +114,7 @@
         except CancelledError:
             if watch is None or not watch.fired:
                 raise
-            detail = f"the worker is silent for {view.silence_s():.1f} s"
+            detail = f"the worker is silent for {view.silence_timeout_s():.1f} s"
             return Outcome(Ran.UNKNOWN, detail)
         finally:
             if watch is not None:
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -71,7 +71,7 @@
         """Number of requests of this instance at the worker."""
         return len(self.in_flight_since)
 
-    def silence_s(self) -> float:
+    def silence_timeout_s(self) -> float:
         """Return how long the worker may give no answer while it has requests."""
         return max(
             MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_LATENCIES * (self.latency_s or 0.0)
@@ -81,7 +81,7 @@
         """Return when the worker becomes unresponsive; infinite while it is idle."""
         if not self.in_flight_since:
             return inf
-        return max(self.heard_at, min(self.in_flight_since)) + self.silence_s()
+        return max(self.heard_at, min(self.in_flight_since)) + self.silence_timeout_s()
 
     def load(self, now: float) -> float:
         """Return the estimated number of requests at the worker, running and queued.
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -194,7 +194,10 @@
 def test_unresponsive_worker_is_not_chosen_while_others_answer(book) -> None:
     first = choose(book, now=10.0)
     first.view.started(10.0)
-    assert choose(book, now=10.0 + first.view.silence_s() + 0.1).view is not first.view
+    assert (
+        choose(book, now=10.0 + first.view.silence_timeout_s() + 0.1).view
+        is not first.view
+    )
 
 
 def test_worker_is_not_unresponsive_while_it_answers(book) -> None:
