--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -83,7 +83,7 @@
         if reply is not None and reply.load is not None:
             view.observe_load(reply.load, now)
         if reply is not None:
-            view.heard_at = now
+            view.last_answer_at = now
             self._suspicion.alive(view.entry.id)
         if reply is not None and reply.verdict is Verdict.ANSWER:
             view.succeeded(now - begun)
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -62,7 +62,7 @@
     cold_until: float = -1e9
     missing_until: float | None = None
     latency_s: float | None = None
-    heard_at: float = -1e9
+    last_answer_at: float = -1e9
     sent: deque[float] = field(default_factory=deque)
     in_flight_since: list[float] = field(default_factory=list)
 
@@ -81,7 +81,10 @@
         """Return when the worker becomes unresponsive; infinite while it is idle."""
         if not self.in_flight_since:
             return inf
-        return max(self.heard_at, min(self.in_flight_since)) + self.silence_timeout_s()
+        return (
+            max(self.last_answer_at, min(self.in_flight_since))
+            + self.silence_timeout_s()
+        )
 
     def load(self, now: float) -> float:
         """Return the estimated number of requests at the worker, running and queued.
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -203,7 +203,7 @@
 def test_worker_is_not_unresponsive_while_it_answers(book) -> None:
     first = choose(book, now=10.0)
     first.view.started(10.0)
-    first.view.heard_at = 12.0
+    first.view.last_answer_at = 12.0
     assert choose(book, now=12.5).view is first.view
 
 
