--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -169,7 +169,7 @@
                     service,
                     str(error),
                     view.failures,
-                    round(view.paused_until - now, 3),
+                    round(view.backoff_until - now, 3),
                     unreachable,
                 )
             )
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -57,7 +57,7 @@
     others_in_flight: float = 0.0
     reported_at: float = -1e9
     failures: int = 0
-    paused_until: float = -1e9
+    backoff_until: float = -1e9
     unreachable: bool = False
     cold_until: float = -1e9
     missing_until: float | None = None
@@ -138,10 +138,10 @@
         """
         self.failures += 1
         backoff_s = min(INITIAL_BACKOFF_S * 2.0 ** (self.failures - 1), MAX_BACKOFF_S)
-        self.paused_until = now + backoff_s
+        self.backoff_until = now + backoff_s
         if unreachable:
             self.unreachable = True
-            self.cold_until = max(self.cold_until, self.paused_until + cold_s)
+            self.cold_until = max(self.cold_until, self.backoff_until + cold_s)
 
 
 @final
@@ -174,7 +174,9 @@
     def usable(self, service: str, now: float) -> tuple[WorkerView, ...]:
         """Return the workers of a service that are not in backoff."""
         return tuple(
-            view for view in self._services.get(service, ()) if now >= view.paused_until
+            view
+            for view in self._services.get(service, ())
+            if now >= view.backoff_until
         )
 
     def known(self, service: str) -> tuple[WorkerView, ...]:
@@ -189,7 +191,7 @@
             "are in data centres under evacuation": sum(
                 view.entry.data_centre in self._evacuated for view in views
             ),
-            "pause after failures": sum(now < view.paused_until for view in views),
+            "pause after failures": sum(now < view.backoff_until for view in views),
             "have just started": sum(now < view.cold_until for view in views),
             "are unresponsive": sum(now >= view.unresponsive_from() for view in views),
         }
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -168,8 +168,8 @@
     view = book.known("s")[0]
     view.failed(10.0, 3.0, unreachable=True)
     assert view not in book.usable("s", 10.1)
-    assert view in book.usable("s", view.paused_until)
-    assert view.cold_until > view.paused_until
+    assert view in book.usable("s", view.backoff_until)
+    assert view.cold_until > view.backoff_until
 
 
 def test_worker_is_cold_when_its_incarnation_changes(book) -> None:
