--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -73,7 +73,7 @@
         """
         view = chosen.view
         begun = self._node.clock()
-        view.started(begun)
+        view.record_start(begun)
         try:
             outcome = await self._exchange(call, route, view, deadline)
         finally:
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -103,7 +103,7 @@
         self.others_in_flight = max(0.0, report.running + report.waiting - own)
         self.reported_at = now
 
-    def started(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """Record that a request is sent."""
         self.in_flight_since.append(now)
         self.sent.append(now)
@@ -113,7 +113,7 @@
     def ended(self, begun: float) -> None:
         """Record that a request is no longer in flight.
 
-        :param begun: time that was passed to :meth:`started`.
+        :param begun: time that was passed to :meth:`record_start`.
         """
         self.in_flight_since.remove(begun)
 
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -122,7 +122,7 @@
     only.put(entry("a0", cold_s=5.0), 0.0)
     sent = 0
     while isinstance(found := choose(only, now=1.0), ChosenWorker):
-        found.view.started(1.0)
+        found.view.record_start(1.0)
         found.view.ended(1.0)
         sent += 1
     assert sent == COLD_RATE
@@ -193,7 +193,7 @@
 
 def test_unresponsive_worker_is_not_chosen_while_others_answer(book) -> None:
     first = choose(book, now=10.0)
-    first.view.started(10.0)
+    first.view.record_start(10.0)
     assert (
         choose(book, now=10.0 + first.view.silence_timeout_s() + 0.1).view
         is not first.view
@@ -202,13 +202,13 @@
 
 def test_worker_is_not_unresponsive_while_it_answers(book) -> None:
     first = choose(book, now=10.0)
-    first.view.started(10.0)
+    first.view.record_start(10.0)
     first.view.last_answer_at = 12.0
     assert choose(book, now=12.5).view is first.view
 
 
 def test_idle_worker_is_not_unresponsive(book) -> None:
     first = choose(book, now=10.0)
-    first.view.started(10.0)
+    first.view.record_start(10.0)
     first.view.ended(10.0)
     assert choose(book, now=100.0).view is first.view
