--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -77,7 +77,7 @@
         try:
             outcome = await self._exchange(call, route, view, deadline)
         finally:
-            view.ended(begun)
+            view.record_end(begun)
         now = self._node.clock()
         reply = outcome.reply
         if reply is not None and reply.load is not None:
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -110,7 +110,7 @@
         while self.sent and self.sent[0] <= now - 1.0:
             self.sent.popleft()
 
-    def ended(self, begun: float) -> None:
+    def record_end(self, begun: float) -> None:
         """Record that a request is no longer in flight.
 
         :param begun: time that was passed to :meth:`record_start`.
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -123,7 +123,7 @@
     sent = 0
     while isinstance(found := choose(only, now=1.0), ChosenWorker):
         found.view.record_start(1.0)
-        found.view.ended(1.0)
+        found.view.record_end(1.0)
         sent += 1
     assert sent == COLD_RATE
 
@@ -210,5 +210,5 @@
 def test_idle_worker_is_not_unresponsive(book) -> None:
     first = choose(book, now=10.0)
     first.view.record_start(10.0)
-    first.view.ended(10.0)
+    first.view.record_end(10.0)
     assert choose(book, now=100.0).view is first.view
