--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -86,7 +86,7 @@
             view.last_answer_at = now
             self._suspicion.alive(view.entry.id)
         if reply is not None and reply.verdict is Verdict.ANSWER:
-            view.succeeded(now - begun)
+            view.record_success(now - begun)
             self._suspicion.answered(self._suspicion.sign(call))
             return outcome
         self._note(call, chosen, outcome, now - begun)
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -121,7 +121,7 @@
         """Return the number of requests that this instance sent in the last second."""
         return sum(1 for moment in self.sent if moment > now - 1.0)
 
-    def succeeded(self, latency_s: float) -> None:
+    def record_success(self, latency_s: float) -> None:
         """Record a regular answer of the worker."""
         self.failures = 0
         self.unreachable = False
