--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -160,7 +160,7 @@
         if unreachable or error.began or error.idle_s is None:
             service = view.entry.service
             now = self._node.clock()
-            view.failed(
+            view.record_failure(
                 now, self._workers.book.cold_s(service), unreachable=unreachable
             )
             self._node.sink.emit(
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -130,7 +130,7 @@
             latency_s if known is None else known + LATENCY_WEIGHT * (latency_s - known)
         )
 
-    def failed(self, now: float, cold_s: float, *, unreachable: bool) -> None:
+    def record_failure(self, now: float, cold_s: float, *, unreachable: bool) -> None:
         """Record a failure that may mean that the worker is down.
 
         :param cold_s: duration of the cold start once the worker is back.
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -157,7 +157,7 @@
 
 def test_description_says_why_workers_get_no_requests(book) -> None:
     book.evacuate(frozenset({"a"}), 0.0)
-    book.known("s")[0].failed(1.0, 0.0, unreachable=False)
+    book.known("s")[0].record_failure(1.0, 0.0, unreachable=False)
     text = book.describe("s", 1.1)
     assert "1 pause after failures" in text
     assert "are in data centres under evacuation" in text
@@ -166,7 +166,7 @@
 
 def test_failed_worker_is_not_usable_until_backoff_ends(book) -> None:
     view = book.known("s")[0]
-    view.failed(10.0, 3.0, unreachable=True)
+    view.record_failure(10.0, 3.0, unreachable=True)
     assert view not in book.usable("s", 10.1)
     assert view in book.usable("s", view.backoff_until)
     assert view.cold_until > view.backoff_until
