--- a/packages/gateway/src/sycamorenotch_gateway/_workers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_workers.py
@@ -22,7 +22,7 @@
 from sycamorenotch_kernel import Topic
 from sycamorenotch_kernel import WorkerEntry
 from sycamorenotch_kernel import gateway_components
-from sycamorenotch_policies import IdleTrust
+from sycamorenotch_policies import AdaptiveIdleTimeout
 from sycamorenotch_policies import WorkerDirectory
 from sycamorenotch_policies import WorkerView
 from sycamorenotch_transport import Http1Pool
@@ -50,7 +50,7 @@
             lambda place: node.settings.placement.region_of(place)
         )
         self._pools: dict[str, Http1Pool] = {}
-        self._trust: dict[str, IdleTrust] = {}
+        self._trust: dict[str, AdaptiveIdleTimeout] = {}
         self._follower = Follower(node, Topic.WORKERS, self._receive)
         self._evacuations = Follower(node, Topic.EVACUATIONS, self._evacuate)
         self._empty: set[str] = set()
@@ -88,9 +88,9 @@
             )
         return self._pools[name]
 
-    def trust(self, service: str) -> IdleTrust:
+    def trust(self, service: str) -> AdaptiveIdleTimeout:
         """Return what is known of idle connections to the workers of a service."""
-        return self._trust.setdefault(service, IdleTrust())
+        return self._trust.setdefault(service, AdaptiveIdleTimeout())
 
     def moved(self, view: WorkerView) -> None:
         """Drop a worker whose address belongs to another one."""
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -58,7 +58,7 @@
 from sycamorenotch_policies._grants import GrantDecision
 from sycamorenotch_policies._grants import apportion
 from sycamorenotch_policies._grants import regrant
-from sycamorenotch_policies._idle_trust import IdleTrust
+from sycamorenotch_policies._idle_timeout import AdaptiveIdleTimeout
 from sycamorenotch_policies._lease import Lease
 from sycamorenotch_policies._lease import LeaseCommand
 from sycamorenotch_policies._lease import LeaseFailed
@@ -131,6 +131,7 @@
     "GONE_GRACE",
     "LAPSE_MARGIN",
     "LOAN_LIFE",
+    "AdaptiveIdleTimeout",
     "AdmissionDecision",
     "AdmissionDecisions",
     "AdmissionDiscipline",
@@ -173,7 +174,6 @@
     "GiveUp",
     "GrantDecision",
     "GrantHolding",
-    "IdleTrust",
     "InstanceContact",
     "Lease",
     "LeaseCommand",
--- a/packages/policies/src/sycamorenotch_policies/_idle_trust.py
+++ b/packages/policies/src/sycamorenotch_policies/_idle_timeout.py
@@ -21,7 +21,7 @@
 
 
 @final
-class IdleTrust:
+class AdaptiveIdleTimeout:
     """Learns the idle time after which servers silently drop connections."""
 
     def __init__(self) -> None:
