--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -130,7 +130,7 @@
                 dialect.encode_attempt(call, view.entry.id, remaining_s),
                 min(CONNECT_S, remaining_s),
                 lambda response: dialect.belongs(call, response),
-                self._workers.trust(view.entry.service).bound_s(now),
+                self._workers.trust(view.entry.service).max_idle_s(now),
             )
         )
         return exchange.addTimeout(remaining_s + ANSWER_TRAVEL_S, self._node.reactor)
@@ -142,7 +142,10 @@
         trust = self._workers.trust(service)
         if error.began or not trust.broke_off(error.idle_s, now - begun, now):
             return
-        idle_s, trusted_s = round(error.idle_s or 0.0, 3), round(trust.bound_s(now), 3)
+        idle_s, trusted_s = (
+            round(error.idle_s or 0.0, 3),
+            round(trust.max_idle_s(now), 3),
+        )
         self._node.sink.emit(
             IdleConnectionForgotten(view.entry.id, service, idle_s, trusted_s)
         )
--- a/packages/policies/src/sycamorenotch_policies/_idle_timeout.py
+++ b/packages/policies/src/sycamorenotch_policies/_idle_timeout.py
@@ -28,7 +28,7 @@
         self._limit_s = inf
         self._limited_at = 0.0
 
-    def bound_s(self, now: float) -> float:
+    def max_idle_s(self, now: float) -> float:
         """Return the idle time up to which a connection may be reused, in seconds."""
         if self._limit_s == inf:
             return inf
@@ -49,7 +49,7 @@
         if idle_s is None or idle_s < MIN_IDLE_S or after_s > MAX_RESET_DELAY_S:
             return False
         self._limit_s = max(
-            MIN_IDLE_S, min(self.bound_s(now), idle_s * IDLE_TIME_FACTOR)
+            MIN_IDLE_S, min(self.max_idle_s(now), idle_s * IDLE_TIME_FACTOR)
         )
         self._limited_at = now
         return True
