--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -140,7 +140,7 @@
         now = self._node.clock()
         service = view.entry.service
         trust = self._workers.trust(service)
-        if error.began or not trust.broke_off(error.idle_s, now - begun, now):
+        if error.began or not trust.record_close(error.idle_s, now - begun, now):
             return
         idle_s, trusted_s = (
             round(error.idle_s or 0.0, 3),
--- a/packages/policies/src/sycamorenotch_policies/_idle_timeout.py
+++ b/packages/policies/src/sycamorenotch_policies/_idle_timeout.py
@@ -37,7 +37,7 @@
         )
         return inf if limit_s >= UNBOUNDED_FROM_S else limit_s
 
-    def broke_off(self, idle_s: float | None, after_s: float, now: float) -> bool:
+    def record_close(self, idle_s: float | None, after_s: float, now: float) -> bool:
         """Record a connection that was closed before the first byte of an answer.
 
         :param idle_s: idle time of the connection before the request; none for a
