--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -34,7 +34,7 @@
 from sycamorenotch_kernel import worker_choices
 from sycamorenotch_policies import ChosenWorker
 from sycamorenotch_policies import NoCapacity
-from sycamorenotch_policies import RetryAllowance
+from sycamorenotch_policies import RetryBudget
 from sycamorenotch_policies import RetryTerms
 from sycamorenotch_policies import WorkerChoice
 from sycamorenotch_policies import WorkerRequest
@@ -85,7 +85,7 @@
         self._peers = node.require(Peers)
         self._attempts = Attempts(node)
         self._suspicion = node.require(Suspicion)
-        self._allowance = RetryAllowance(self._terms)
+        self._allowance = RetryBudget(self._terms)
         book = self._workers.book
         self._choice: WorkerChoice = worker_choices.get("affinity")(
             node.settings.placement.region,
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -102,8 +102,8 @@
 from sycamorenotch_policies._retry import Retry
 from sycamorenotch_policies._retry import RetryDecision
 from sycamorenotch_policies._retry import RetryRule
-from sycamorenotch_policies._retry_allowance import RetryAllowance
-from sycamorenotch_policies._retry_allowance import RetryTerms
+from sycamorenotch_policies._retry_budget import RetryBudget
+from sycamorenotch_policies._retry_budget import RetryTerms
 from sycamorenotch_policies._route_table import RouteTable
 from sycamorenotch_policies._route_table import pick_service
 from sycamorenotch_policies._route_table import unit_interval
@@ -205,7 +205,7 @@
     "RecordedAnswer",
     "Refused",
     "Retry",
-    "RetryAllowance",
+    "RetryBudget",
     "RetryDecision",
     "RetryRule",
     "RetryTerms",
--- a/packages/policies/src/sycamorenotch_policies/_retry_allowance.py
+++ b/packages/policies/src/sycamorenotch_policies/_retry_budget.py
@@ -36,7 +36,7 @@
 
 
 @final
-class RetryAllowance:
+class RetryBudget:
     """Limits the retries of each service in a sliding window.
 
     One instance may retry the ratio of its own first attempts and an equal part
--- a/testing/policies/test_retry_allowance.py
+++ b/testing/policies/test_retry_budget.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sycamorenotch_policies import RetryAllowance
+from sycamorenotch_policies import RetryBudget
 from sycamorenotch_policies import RetryTerms
 
 TERMS = RetryTerms(ratio=0.2, window_s=10.0, extra=60.0)
@@ -14,7 +14,7 @@
 @given(st.lists(st.tuples(st.floats(0, 0.5), st.booleans()), max_size=400))
 def test_retries_stay_within_limit_in_every_window(steps) -> None:
     instances = 3
-    allowance = RetryAllowance(lambda: TERMS)
+    allowance = RetryBudget(lambda: TERMS)
     now = 0.0
     first_attempts: list[float] = []
     retries_sent: list[float] = []
@@ -32,13 +32,13 @@
 
 
 def test_retry_is_denied_when_share_is_used_up() -> None:
-    allowance = RetryAllowance(lambda: RetryTerms(0.0, 10.0, 10.0))
+    allowance = RetryBudget(lambda: RetryTerms(0.0, 10.0, 10.0))
     taken = sum(allowance.take("s", 1.0, 2) for _ in range(20))
     assert taken == 4
 
 
 def test_retry_is_allowed_again_when_window_has_passed() -> None:
-    allowance = RetryAllowance(lambda: RetryTerms(0.0, 10.0, 2.0))
+    allowance = RetryBudget(lambda: RetryTerms(0.0, 10.0, 2.0))
     assert allowance.take("s", 0.0, 1)
     assert not allowance.take("s", 9.0, 1)
     assert allowance.take("s", 10.0, 1)
