--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -35,7 +35,7 @@
 from sycamorenotch_policies import ChosenWorker
 from sycamorenotch_policies import NoCapacity
 from sycamorenotch_policies import RetryBudget
-from sycamorenotch_policies import RetryTerms
+from sycamorenotch_policies import RetryLimits
 from sycamorenotch_policies import WorkerChoice
 from sycamorenotch_policies import WorkerRequest
 from sycamorenotch_policies import pick_service
@@ -133,10 +133,10 @@
         bound = patience if route.timeout_s is None else min(patience, route.timeout_s)
         return await self._try_workers(call, route, progress, progress.begun + bound)
 
-    def _terms(self) -> RetryTerms:
+    def _terms(self) -> RetryLimits:
         bounds = self._node.settings.bounds
         window_s = bounds.retry_window.total_seconds()
-        return RetryTerms(bounds.retry_ratio, window_s, bounds.extra_retries)
+        return RetryLimits(bounds.retry_ratio, window_s, bounds.extra_retries)
 
     async def _until_known(self, limit: float) -> None:
         """Wait for the first configuration and workers of a fresh instance."""
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -103,7 +103,7 @@
 from sycamorenotch_policies._retry import RetryDecision
 from sycamorenotch_policies._retry import RetryRule
 from sycamorenotch_policies._retry_budget import RetryBudget
-from sycamorenotch_policies._retry_budget import RetryTerms
+from sycamorenotch_policies._retry_budget import RetryLimits
 from sycamorenotch_policies._route_table import RouteTable
 from sycamorenotch_policies._route_table import pick_service
 from sycamorenotch_policies._route_table import unit_interval
@@ -207,8 +207,8 @@
     "Retry",
     "RetryBudget",
     "RetryDecision",
+    "RetryLimits",
     "RetryRule",
-    "RetryTerms",
     "RoundRobin",
     "RouteTable",
     "ShiftLedger",
--- a/packages/policies/src/sycamorenotch_policies/_retry_budget.py
+++ b/packages/policies/src/sycamorenotch_policies/_retry_budget.py
@@ -14,7 +14,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class RetryTerms:
+class RetryLimits:
     """Limit on the retries of all instances together.
 
     :param ratio: retries per first attempt in the window.
@@ -42,11 +42,11 @@
     One instance may retry the ratio of its own first attempts and an equal part
     of the extra retries.
 
-    :param terms: returns the limit in force.
+    :param limits: returns the limit in force.
     """
 
-    def __init__(self, terms: Callable[[], RetryTerms]) -> None:
-        self._terms = terms
+    def __init__(self, limits: Callable[[], RetryLimits]) -> None:
+        self._limits = limits
         self._services: dict[str, _Window] = {}
 
     def requested(self, service: str, now: float) -> None:
@@ -61,9 +61,9 @@
         :return: whether the request may be retried.
         """
         window = self._window(service, now)
-        terms = self._terms()
-        share = terms.extra / max(1, instances)
-        allowed = USED_SHARE * (terms.ratio * len(window.first_attempts) + share)
+        limits = self._limits()
+        share = limits.extra / max(1, instances)
+        allowed = USED_SHARE * (limits.ratio * len(window.first_attempts) + share)
         if len(window.retries) + 1 > allowed:
             return False
         window.retries.append(now)
@@ -71,7 +71,7 @@
 
     def _window(self, service: str, now: float) -> _Window:
         window = self._services.setdefault(service, _Window())
-        since = now - self._terms().window_s
+        since = now - self._limits().window_s
         for moments in (window.first_attempts, window.retries):
             while moments and moments[0] <= since:
                 moments.popleft()
--- a/testing/policies/test_retry_budget.py
+++ b/testing/policies/test_retry_budget.py
@@ -6,15 +6,15 @@
 from hypothesis import strategies as st
 
 from sycamorenotch_policies import RetryBudget
-from sycamorenotch_policies import RetryTerms
+from sycamorenotch_policies import RetryLimits
 
-TERMS = RetryTerms(ratio=0.2, window_s=10.0, extra=60.0)
+LIMITS = RetryLimits(ratio=0.2, window_s=10.0, extra=60.0)
 
 
 @given(st.lists(st.tuples(st.floats(0, 0.5), st.booleans()), max_size=400))
 def test_retries_stay_within_limit_in_every_window(steps) -> None:
     instances = 3
-    allowance = RetryBudget(lambda: TERMS)
+    allowance = RetryBudget(lambda: LIMITS)
     now = 0.0
     first_attempts: list[float] = []
     retries_sent: list[float] = []
@@ -26,19 +26,19 @@
         elif allowance.take("s", now, instances):
             retries_sent.append(now)
     for end in retries_sent:
-        retries = sum(end - TERMS.window_s < t <= end for t in retries_sent)
-        requests = sum(end - TERMS.window_s < t <= end for t in first_attempts)
-        assert retries <= TERMS.ratio * requests + TERMS.extra / instances
+        retries = sum(end - LIMITS.window_s < t <= end for t in retries_sent)
+        requests = sum(end - LIMITS.window_s < t <= end for t in first_attempts)
+        assert retries <= LIMITS.ratio * requests + LIMITS.extra / instances
 
 
 def test_retry_is_denied_when_share_is_used_up() -> None:
-    allowance = RetryBudget(lambda: RetryTerms(0.0, 10.0, 10.0))
+    allowance = RetryBudget(lambda: RetryLimits(0.0, 10.0, 10.0))
     taken = sum(allowance.take("s", 1.0, 2) for _ in range(20))
     assert taken == 4
 
 
 def test_retry_is_allowed_again_when_window_has_passed() -> None:
-    allowance = RetryBudget(lambda: RetryTerms(0.0, 10.0, 2.0))
+    allowance = RetryBudget(lambda: RetryLimits(0.0, 10.0, 2.0))
     assert allowance.take("s", 0.0, 1)
     assert not allowance.take("s", 9.0, 1)
     assert allowance.take("s", 10.0, 1)
