--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -193,7 +193,7 @@
 
     def _may_send(self, progress: _Progress, now: float) -> bool:
         if progress.attempts == 0:
-            self._allowance.requested(progress.service, now)
+            self._allowance.record_first_attempt(progress.service, now)
             return True
         return self._allowance.take(progress.service, now, self._peers.live_count)
 
--- a/packages/policies/src/sycamorenotch_policies/_retry_budget.py
+++ b/packages/policies/src/sycamorenotch_policies/_retry_budget.py
@@ -49,7 +49,7 @@
         self._limits = limits
         self._services: dict[str, _Window] = {}
 
-    def requested(self, service: str, now: float) -> None:
+    def record_first_attempt(self, service: str, now: float) -> None:
         """Count a first attempt."""
         window = self._window(service, now)
         window.first_attempts.append(now)
--- a/testing/policies/test_retry_budget.py
+++ b/testing/policies/test_retry_budget.py
@@ -21,7 +21,7 @@
     for pause, retry in steps:
         now += pause
         if not retry:
-            allowance.requested("s", now)
+            allowance.record_first_attempt("s", now)
             first_attempts.append(now)
         elif allowance.take("s", now, instances):
             retries_sent.append(now)
