--- a/packages/policies/src/sycamorenotch_policies/_retry_budget.py
+++ b/packages/policies/src/sycamorenotch_policies/_retry_budget.py
@@ -54,7 +54,7 @@
         window = self._window(service, now)
         window.first_attempts.append(now)
 
-    def take(self, service: str, now: float, instances: int) -> bool:
+    def try_acquire(self, service: str, now: float, instances: int) -> bool:
         """Count a retry if the budget allows one.
 
         :param instances: number of instances that share the extra retries.
--- a/testing/policies/test_retry_budget.py
+++ b/testing/policies/test_retry_budget.py
@@ -23,7 +23,7 @@
         if not retry:
             allowance.record_first_attempt("s", now)
             first_attempts.append(now)
-        elif allowance.take("s", now, instances):
+        elif allowance.try_acquire("s", now, instances):
             retries_sent.append(now)
     for end in retries_sent:
         retries = sum(end - LIMITS.window_s < t <= end for t in retries_sent)
@@ -33,12 +33,12 @@
 
 def test_retry_is_denied_when_share_is_used_up() -> None:
     allowance = RetryBudget(lambda: RetryLimits(0.0, 10.0, 10.0))
-    taken = sum(allowance.take("s", 1.0, 2) for _ in range(20))
+    taken = sum(allowance.try_acquire("s", 1.0, 2) for _ in range(20))
     assert taken == 4
 
 
 def test_retry_is_allowed_again_when_window_has_passed() -> None:
     allowance = RetryBudget(lambda: RetryLimits(0.0, 10.0, 2.0))
-    assert allowance.take("s", 0.0, 1)
-    assert not allowance.take("s", 9.0, 1)
-    assert allowance.take("s", 10.0, 1)
+    assert allowance.try_acquire("s", 0.0, 1)
+    assert not allowance.try_acquire("s", 9.0, 1)
+    assert allowance.try_acquire("s", 10.0, 1)
