--- a/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
@@ -31,10 +31,10 @@
 from sycamorenotch_policies import ClaimRequest
 from sycamorenotch_policies import ClaimUnreadable
 from sycamorenotch_policies import ClaimWaited
+from sycamorenotch_policies import ClockReading
 from sycamorenotch_policies import DispatchCall
 from sycamorenotch_policies import DispatchEnded
 from sycamorenotch_policies import FinishCall
-from sycamorenotch_policies import Moment
 from sycamorenotch_policies import ReadClaim
 from sycamorenotch_policies import WaitForClaim
 from sycamorenotch_policies import fingerprint
@@ -184,6 +184,6 @@
         if len(self._may_have_run) > MAXIMUM_REMEMBERED:
             self._may_have_run.popitem(last=False)
 
-    def _moment(self) -> Moment:
+    def _moment(self) -> ClockReading:
         clock = self._node.clock
-        return Moment(clock.monotonic(), clock.now())
+        return ClockReading(clock.monotonic(), clock.now())
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -42,7 +42,7 @@
 from sycamorenotch_policies._claims import Claim
 from sycamorenotch_policies._claims import ClaimRequest
 from sycamorenotch_policies._claims import ClaimState
-from sycamorenotch_policies._claims import Moment
+from sycamorenotch_policies._claims import ClockReading
 from sycamorenotch_policies._claims import RecordedAnswer
 from sycamorenotch_policies._claims import fingerprint
 from sycamorenotch_policies._concurrency import ConcurrencyLimit
@@ -159,6 +159,7 @@
     "ClaimWaited",
     "ClaimWriteLost",
     "ClaimWritten",
+    "ClockReading",
     "ConcurrencyLimit",
     "ConfigurationHistory",
     "ConfigurationText",
@@ -189,7 +190,6 @@
     "LookupTable",
     "MakePlan",
     "Membership",
-    "Moment",
     "NearestRegion",
     "NeverRetry",
     "NoCapacity",
--- a/packages/policies/src/sycamorenotch_policies/_claim_protocol.py
+++ b/packages/policies/src/sycamorenotch_policies/_claim_protocol.py
@@ -32,7 +32,7 @@
 from sycamorenotch_policies._claims import Claim
 from sycamorenotch_policies._claims import ClaimRequest
 from sycamorenotch_policies._claims import ClaimState
-from sycamorenotch_policies._claims import Moment
+from sycamorenotch_policies._claims import ClockReading
 
 STEP_NAMES: dict[type, str] = {
     ClaimUnreadable: "unreadable",
@@ -50,7 +50,7 @@
     """Handler of one kind of input."""
 
     def __call__(
-        self, protocol: ClaimProtocol, event: ClaimInput, now: Moment
+        self, protocol: ClaimProtocol, event: ClaimInput, now: ClockReading
     ) -> ClaimCommand:
         """Return the next command."""
         ...
@@ -74,20 +74,20 @@
         self.failures = 0
         self.waits = 0
 
-    def start(self, now: Moment) -> ClaimCommand:
+    def start(self, now: ClockReading) -> ClaimCommand:
         """Return the first command."""
         return self.write(None, now)
 
-    def feed(self, event: ClaimInput, now: Moment) -> ClaimCommand:
+    def feed(self, event: ClaimInput, now: ClockReading) -> ClaimCommand:
         """Return the command that follows an input."""
         step: ClaimStep = claim_steps.get(self._step_name(event))
         return step(self, event, now)
 
-    def remaining(self, now: Moment) -> timedelta:
+    def remaining(self, now: ClockReading) -> timedelta:
         """Return the time until the deadline; not positive if it has passed."""
         return self.request.deadline - now.monotonic
 
-    def write(self, expected: Version | None, now: Moment) -> ClaimCommand:
+    def write(self, expected: Version | None, now: ClockReading) -> ClaimCommand:
         """Return the command that writes the attempt's claim.
 
         :param expected: version of the claim to replace; none to create it.
@@ -141,7 +141,7 @@
         failure = Failure(kind, "the attempt was interrupted", ran)
         return FinishCall(Error(failure), settle, self.version)
 
-    def _new_claim(self, now: Moment) -> Claim:
+    def _new_claim(self, now: ClockReading) -> Claim:
         due = now.wall + self.remaining(now)
         return Claim(
             fingerprint=self.request.fingerprint,
--- a/packages/policies/src/sycamorenotch_policies/_claim_steps.py
+++ b/packages/policies/src/sycamorenotch_policies/_claim_steps.py
@@ -27,7 +27,7 @@
 from sycamorenotch_policies._claim_messages import ReadClaim
 from sycamorenotch_policies._claim_messages import WaitForClaim
 from sycamorenotch_policies._claim_protocol import ClaimProtocol
-from sycamorenotch_policies._claims import Moment
+from sycamorenotch_policies._claims import ClockReading
 
 MAX_FAILURES = 3
 INITIAL_POLL_DELAY = timedelta(milliseconds=50)
@@ -40,7 +40,9 @@
 
 
 @claim_steps.register("written")
-def written(protocol: ClaimProtocol, event: ClaimWritten, now: Moment) -> ClaimCommand:
+def written(
+    protocol: ClaimProtocol, event: ClaimWritten, now: ClockReading
+) -> ClaimCommand:
     """Dispatch the request after the attempt's claim was written."""
     protocol.lifecycle.hold_claim()
     protocol.version = event.version
@@ -48,7 +50,9 @@
 
 
 @claim_steps.register("found-own")
-def found_own(protocol: ClaimProtocol, event: ClaimFound, now: Moment) -> ClaimCommand:
+def found_own(
+    protocol: ClaimProtocol, event: ClaimFound, now: ClockReading
+) -> ClaimCommand:
     """Dispatch the request after reading back a write with an unknown outcome."""
     protocol.lifecycle.hold_claim()
     protocol.version = event.version
@@ -57,7 +61,7 @@
 
 @claim_steps.register("found-other-request")
 def found_other_request(
-    protocol: ClaimProtocol, event: ClaimFound, now: Moment
+    protocol: ClaimProtocol, event: ClaimFound, now: ClockReading
 ) -> ClaimCommand:
     """Refuse a key that was used for another request."""
     _reject_write(protocol)
@@ -66,7 +70,9 @@
 
 
 @claim_steps.register("found-held")
-def found_held(protocol: ClaimProtocol, event: ClaimFound, now: Moment) -> ClaimCommand:
+def found_held(
+    protocol: ClaimProtocol, event: ClaimFound, now: ClockReading
+) -> ClaimCommand:
     """Wait for the outcome of another attempt while both deadlines allow it."""
     _reject_write(protocol)
     protocol.record.other_may_have_run = True
@@ -81,7 +87,7 @@
 
 @claim_steps.register("found-unknown")
 def found_unknown(
-    protocol: ClaimProtocol, event: ClaimFound, now: Moment
+    protocol: ClaimProtocol, event: ClaimFound, now: ClockReading
 ) -> ClaimCommand:
     """Refuse to repeat an attempt with an unknown outcome."""
     _reject_write(protocol)
@@ -89,7 +95,9 @@
 
 
 @claim_steps.register("found-done")
-def found_done(protocol: ClaimProtocol, event: ClaimFound, now: Moment) -> ClaimCommand:
+def found_done(
+    protocol: ClaimProtocol, event: ClaimFound, now: ClockReading
+) -> ClaimCommand:
     """Return the recorded answer of an earlier attempt."""
     _reject_write(protocol)
     answer = event.claim.answer
@@ -104,7 +112,7 @@
 
 @claim_steps.register("found-released")
 def found_released(
-    protocol: ClaimProtocol, event: ClaimFound, now: Moment
+    protocol: ClaimProtocol, event: ClaimFound, now: ClockReading
 ) -> ClaimCommand:
     """Replace the claim of an attempt that did not run."""
     protocol.record.other_may_have_run = False
@@ -113,7 +121,7 @@
 
 @claim_steps.register("unreadable")
 def unreadable(
-    protocol: ClaimProtocol, event: ClaimUnreadable, now: Moment
+    protocol: ClaimProtocol, event: ClaimUnreadable, now: ClockReading
 ) -> ClaimCommand:
     """Refuse a key whose claim cannot be decoded."""
     _reject_write(protocol)
@@ -121,14 +129,16 @@
 
 
 @claim_steps.register("missing")
-def missing(protocol: ClaimProtocol, event: ClaimMissing, now: Moment) -> ClaimCommand:
+def missing(
+    protocol: ClaimProtocol, event: ClaimMissing, now: ClockReading
+) -> ClaimCommand:
     """Create the claim; a repeated write keeps the attempt identifier."""
     return protocol.write(None, now)
 
 
 @claim_steps.register("conflict")
 def conflict(
-    protocol: ClaimProtocol, event: ClaimConflict, now: Moment
+    protocol: ClaimProtocol, event: ClaimConflict, now: ClockReading
 ) -> ClaimCommand:
     """Read the claim that won the conflict."""
     return ReadClaim()
@@ -136,7 +146,7 @@
 
 @claim_steps.register("write-lost")
 def write_lost(
-    protocol: ClaimProtocol, event: ClaimWriteLost, now: Moment
+    protocol: ClaimProtocol, event: ClaimWriteLost, now: ClockReading
 ) -> ClaimCommand:
     """Read back a write with an unknown outcome."""
     protocol.lifecycle.mark_write_unknown()
@@ -145,21 +155,23 @@
 
 @claim_steps.register("store-failed")
 def store_failed(
-    protocol: ClaimProtocol, event: ClaimStoreFailed, now: Moment
+    protocol: ClaimProtocol, event: ClaimStoreFailed, now: ClockReading
 ) -> ClaimCommand:
     """Retry the store a few times, then refuse the request."""
     return _retry_store(protocol, event.detail, now)
 
 
 @claim_steps.register("waited")
-def waited(protocol: ClaimProtocol, event: ClaimWaited, now: Moment) -> ClaimCommand:
+def waited(
+    protocol: ClaimProtocol, event: ClaimWaited, now: ClockReading
+) -> ClaimCommand:
     """Read the claim after a delay."""
     return ReadClaim()
 
 
 @claim_steps.register("dispatch-ended")
 def dispatch_ended(
-    protocol: ClaimProtocol, event: DispatchEnded, now: Moment
+    protocol: ClaimProtocol, event: DispatchEnded, now: ClockReading
 ) -> ClaimCommand:
     """Record the outcome, or release the claim if the request did not run."""
     assert protocol.claim is not None
@@ -186,7 +198,7 @@
     return failure.stated_ran is Ran.NO
 
 
-def _dispatch(protocol: ClaimProtocol, now: Moment) -> ClaimCommand:
+def _dispatch(protocol: ClaimProtocol, now: ClockReading) -> ClaimCommand:
     # The process may have been suspended since the write was sent.
     if protocol.remaining(now) <= timedelta():
         detail = "the deadline passed before the request was sent"
@@ -208,7 +220,9 @@
     return protocol.refuse(ErrorKind.CLAIM_HELD, detail, Ran.UNKNOWN, retry_after)
 
 
-def _retry_store(protocol: ClaimProtocol, detail: str, now: Moment) -> ClaimCommand:
+def _retry_store(
+    protocol: ClaimProtocol, detail: str, now: ClockReading
+) -> ClaimCommand:
     protocol.failures += 1
     delay = _poll_delay(protocol)
     if protocol.failures > MAX_FAILURES or protocol.remaining(now) <= delay:
--- a/packages/policies/src/sycamorenotch_policies/_claims.py
+++ b/packages/policies/src/sycamorenotch_policies/_claims.py
@@ -122,7 +122,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Moment:
+class ClockReading:
     """Reading of both clocks at one time.
 
     :param monotonic: for deadlines on this instance.
