--- a/packages/daemon/src/sycamorenotch_daemon/_claim_settler.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_settler.py
@@ -219,7 +219,7 @@
     def _take_version(self, settlement: Settlement, found: ClaimFound) -> bool:
         """Note the version of a claim that the attempt still holds."""
         held = found.claim.state is ClaimState.HELD
-        own = found.claim.has_attempt_of(settlement.claim)
+        own = found.claim.is_same_attempt(settlement.claim)
         settlement.expected = found.version if held and own else None
         return held and own
 
--- a/packages/policies/src/sycamorenotch_policies/_claim_protocol.py
+++ b/packages/policies/src/sycamorenotch_policies/_claim_protocol.py
@@ -156,7 +156,7 @@
     def _step_name(self, event: ClaimInput) -> str:
         if not isinstance(event, ClaimFound):
             return STEP_NAMES[type(event)]
-        if self.claim is not None and event.claim.has_attempt_of(self.claim):
+        if self.claim is not None and event.claim.is_same_attempt(self.claim):
             return "found-own"
         if event.claim.fingerprint != self.request.fingerprint:
             return "found-other-request"
--- a/packages/policies/src/sycamorenotch_policies/_claims.py
+++ b/packages/policies/src/sycamorenotch_policies/_claims.py
@@ -72,7 +72,7 @@
     expires: datetime
     answer: RecordedAnswer | None = None
 
-    def has_attempt_of(self, other: Claim) -> bool:
+    def is_same_attempt(self, other: Claim) -> bool:
         """Return whether one attempt wrote both claims.
 
         The identifier is random. Comparing the instance and the time as well
