--- a/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
@@ -81,7 +81,7 @@
             instance=self._node.settings.instance,
             deadline=call.deadline,
             lifetime=current.environment.bounds.claim_lifetime,
-            seen=place.name in self._may_have_run,
+            earlier_may_have_run=place.name in self._may_have_run,
         )
         return ClaimProtocol(request, self._node.random)
 
--- a/packages/policies/src/sycamorenotch_policies/_claim_protocol.py
+++ b/packages/policies/src/sycamorenotch_policies/_claim_protocol.py
@@ -67,7 +67,7 @@
     def __init__(self, request: ClaimRequest, random: Random) -> None:
         self.request = request
         self.random = random
-        self.record = AttemptRecord(other_may_have_run=request.seen)
+        self.record = AttemptRecord(other_may_have_run=request.earlier_may_have_run)
         self.lifecycle = new_lifecycle(self.record)
         self.claim: Claim | None = None
         self.version: Version | None = None
--- a/packages/policies/src/sycamorenotch_policies/_claims.py
+++ b/packages/policies/src/sycamorenotch_policies/_claims.py
@@ -108,8 +108,8 @@
     :param instance: instance that runs the attempt.
     :param deadline: monotonic time.
     :param lifetime: how long the claim is kept after the deadline.
-    :param seen: whether this instance knows of an earlier attempt for the key
-        that may have run.
+    :param earlier_may_have_run: whether this instance knows of an earlier attempt
+        for the key that may have run.
     """
 
     fingerprint: str
@@ -117,7 +117,7 @@
     instance: str
     deadline: timedelta
     lifetime: timedelta
-    seen: bool = False
+    earlier_may_have_run: bool = False
 
 
 @final
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -39,14 +39,14 @@
     :param others_in_flight: requests of other instances, by the last load report.
     :param reported_at: time of the last load report.
     :param failures: consecutive failures.
-    :param paused_until: end of the backoff after a failure.
+    :param backoff_until: end of the backoff after a failure.
     :param unreachable: whether the worker could not be connected to since its
         last regular answer.
     :param cold_until: end of the cold start, with a limited request rate.
     :param missing_until: time at which the worker is removed unless its expired
         entry comes back; none while the entry is present.
     :param latency_s: moving average of the latency of regular answers.
-    :param heard_at: time of the last answer to this instance.
+    :param last_answer_at: time of the last answer to this instance.
     :param sent: send times of the requests of the last second.
     :param in_flight_since: send times of the requests in flight.
     """
