--- a/packages/daemon/src/sycamorenotch_daemon/_claim_collector.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_collector.py
@@ -78,4 +78,4 @@
 
     def _expired(self, claims: list[tuple[StoredObject, Claim]]) -> list[StoredObject]:
         now = self._node.clock.now()
-        return [stored for stored, item in claims if self._expiry.is_over(item, now)]
+        return [stored for stored, item in claims if self._expiry.is_expired(item, now)]
--- a/packages/policies/src/sycamorenotch_policies/_claim_collection.py
+++ b/packages/policies/src/sycamorenotch_policies/_claim_collection.py
@@ -34,7 +34,7 @@
         previous = () if self._latest_created is None else (self._latest_created,)
         self._latest_created = max((*created, *previous), default=None)
 
-    def is_over(self, claim: Claim, now: datetime) -> bool:
+    def is_expired(self, claim: Claim, now: datetime) -> bool:
         """Return whether a claim has expired and may be deleted.
 
         :param now: wall clock time of this instance.
