--- a/packages/gateway/src/sycamorenotch_gateway/_front_end.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_front_end.py
@@ -135,7 +135,7 @@
         if result.is_error():
             return dialect.encode_refusal(call.ok.id, result.error)
         response = dialect.encode_reply(result.ok)
-        self._peers.usage.carried(len(request.body) + len(response.body))
+        self._peers.usage.record_transfer(len(request.body) + len(response.body))
         return response
 
     async def _readiness(self, request: HttpRequest) -> HttpResponse:
--- a/packages/policies/src/sycamorenotch_policies/_usage_meter.py
+++ b/packages/policies/src/sycamorenotch_policies/_usage_meter.py
@@ -28,7 +28,7 @@
         self._bytes = 0
         self._average = Resources(0.0, 0.0)
 
-    def carried(self, size: int) -> None:
+    def record_transfer(self, size: int) -> None:
         """Count bytes that the instance forwarded; each byte counts once."""
         self._bytes += size
 
