--- a/packages/policies/src/sycamorenotch_policies/_choice.py
+++ b/packages/policies/src/sycamorenotch_policies/_choice.py
@@ -152,7 +152,7 @@
         self, now: timedelta, tried: frozenset[str] = NO_WORKERS_TRIED
     ) -> Choice | None:
         """Choose a worker that was not tried and count the request in flight."""
-        self.table.wake(now)
+        self.table.start_due_probes(now)
         region = self._draw_region()
         usable = self.table.usable(region)
         drawn = self._draw(usable, now, tried)
@@ -202,7 +202,7 @@
         self, now: timedelta, tried: frozenset[str] = NO_WORKERS_TRIED
     ) -> Choice | None:
         """Choose the next worker that was not tried and count the request in flight."""
-        self.table.wake(now)
+        self.table.start_due_probes(now)
         usable = [s for r in sorted(self.table.regions()) for s in self.table.usable(r)]
         untried = [s for s in usable if s.worker.name not in tried]
         state = untried[next(self._counter) % len(untried)] if untried else None
@@ -218,7 +218,7 @@
         self, now: timedelta, tried: frozenset[str] = NO_WORKERS_TRIED
     ) -> Choice | None:
         """Choose a worker that was not tried and count the request in flight."""
-        self.table.wake(now)
+        self.table.start_due_probes(now)
         region = self._draw_region()
         usable = self.table.usable(region)
         untried = [s for s in usable if s.worker.name not in tried]
--- a/packages/policies/src/sycamorenotch_policies/_worker_table.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_table.py
@@ -196,7 +196,7 @@
         state.leaving_since = None
         self._readmit(state, now)
 
-    def wake(self, now: timedelta) -> None:
+    def start_due_probes(self, now: timedelta) -> None:
         """Start probing the workers whose ejection time is over."""
         while self._ejected and self._ejected[0][0] <= now:
             until, name = heappop(self._ejected)
--- a/testing/policies/test_choice.py
+++ b/testing/policies/test_choice.py
@@ -98,7 +98,7 @@
     fail(choice, "west-0", 3, START)
     assert serve(choice, 200)["west-0"] == 0
     later = START + timedelta(seconds=7)
-    choice.table.wake(later)
+    choice.table.start_due_probes(later)
     state = choice.table.states["west-0"]
     assert state.probing
     choice.table.start(state, later)
@@ -118,7 +118,7 @@
     state = choice.table.states["west-0"]
     first = state.ejected_until - START
     later = START + timedelta(seconds=7)
-    choice.table.wake(later)
+    choice.table.start_due_probes(later)
     fail(choice, "west-0", 1, later)
     assert state.ejected_until - later > first * 1.5
 
