--- a/packages/policies/src/sycamorenotch_policies/_claim_protocol.py
+++ b/packages/policies/src/sycamorenotch_policies/_claim_protocol.py
@@ -14,8 +14,8 @@
 from sycamorenotch_kernel import Ran
 from sycamorenotch_kernel import Version
 from sycamorenotch_kernel import claim_steps
-from sycamorenotch_policies._claim_life import AttemptRecord
-from sycamorenotch_policies._claim_life import new_lifecycle
+from sycamorenotch_policies._claim_lifecycle import AttemptRecord
+from sycamorenotch_policies._claim_lifecycle import new_lifecycle
 from sycamorenotch_policies._claim_messages import ClaimCommand
 from sycamorenotch_policies._claim_messages import ClaimConflict
 from sycamorenotch_policies._claim_messages import ClaimFound
