--- a/testing/platform/test_gateway.py
+++ b/testing/platform/test_gateway.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import deferLater
 
-from sycamorenotch_policies import _idle_trust
+from sycamorenotch_policies import _idle_timeout
 from sycamorenotch_transport import header
 
 
@@ -142,8 +142,8 @@
     on_site, monkeypatch
 ) -> None:
     # A busy machine must not make the reset look like a crash.
-    monkeypatch.setattr(_idle_trust, "FORGOTTEN_S", 60.0)
-    monkeypatch.setattr(_idle_trust, "RELAX_S", 600.0)
+    monkeypatch.setattr(_idle_timeout, "MAX_RESET_DELAY_S", 60.0)
+    monkeypatch.setattr(_idle_timeout, "DOUBLING_INTERVAL_S", 600.0)
 
     async def scenario(site) -> None:
         (worker,) = site.workers
