--- a/packages/policies/src/sycamorenotch_policies/_admission.py
+++ b/packages/policies/src/sycamorenotch_policies/_admission.py
@@ -281,9 +281,9 @@
         return chosen
 
     def _floors_hold(self, chosen: Rank, waiting: list[Rank]) -> bool:
-        credits = {rank.label: round(self._credits[rank], 3) for rank in waiting}
-        floors_hold = all(credit < MAX_CREDIT for credit in credits.values())
-        detail = f"slot given to {chosen.label}; credits {credits}"
+        credit_by_rank = {rank.label: round(self._credits[rank], 3) for rank in waiting}
+        floors_hold = all(credit < MAX_CREDIT for credit in credit_by_rank.values())
+        detail = f"slot given to {chosen.label}; credits {credit_by_rank}"
         return self._invariants.holds(Invariant.I10, floors_hold, detail)
 
     def _expected_wait(self, rank: Rank) -> timedelta | None:
--- a/packages/policies/src/sycamorenotch_policies/_retry_budget.py
+++ b/packages/policies/src/sycamorenotch_policies/_retry_budget.py
@@ -72,7 +72,7 @@
     def _window(self, service: str, now: float) -> _Window:
         window = self._services.setdefault(service, _Window())
         since = now - self._limits().window_s
-        for moments in (window.first_attempts, window.retries):
-            while moments and moments[0] <= since:
-                moments.popleft()
+        for sent_at in (window.first_attempts, window.retries):
+            while sent_at and sent_at[0] <= since:
+                sent_at.popleft()
         return window
--- a/packages/policies/src/sycamorenotch_policies/_worker_choice.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_choice.py
@@ -22,7 +22,7 @@
 # which takes as long as several requests for a loaded object.
 OWNERS_PER_OBJECT = 2
 # Assumed latency of a worker that has not answered yet.
-DEFAULT_SERVICE_S = 0.5
+DEFAULT_LATENCY_S = 0.5
 MIN_RETRY_AFTER_S = 0.2
 
 MayWarmUp = Callable[[str], bool]
@@ -74,7 +74,7 @@
     """Strategy that chooses a worker for each request."""
 
     def choose(
-        self, wanted: WorkerRequest, views: tuple[WorkerView, ...], now: float
+        self, request: WorkerRequest, views: tuple[WorkerView, ...], now: float
     ) -> ChosenWorker | NoCapacity:
         """Choose among the usable workers of the service.
 
@@ -112,31 +112,31 @@
         self._random = random
 
     def choose(
-        self, wanted: WorkerRequest, views: tuple[WorkerView, ...], now: float
+        self, request: WorkerRequest, views: tuple[WorkerView, ...], now: float
     ) -> ChosenWorker | NoCapacity:
         """Choose among the usable workers of the service.
 
         :param now: monotonic time in seconds.
         """
-        homes = wanted.route.homes
+        homes = request.route.homes
         allowed = [
             view
             for view in views
-            if view.entry.id not in wanted.tried
+            if view.entry.id not in request.tried
             and (not homes or view.region in homes)
             and self._accepts_more(view, now)
         ]
         if not allowed:
             return NoCapacity("no worker of the service is usable", MIN_RETRY_AFTER_S)
         responsive = [view for view in allowed if now < view.unresponsive_from()]
-        owners = self._owners(wanted, responsive or allowed)
+        owners = self._owners(request, responsive or allowed)
         for index, view in enumerate(owners):
             load = view.load(now) / view.entry.slots
             if load < MAX_LOAD_PER_SLOT:
                 return ChosenWorker(view, load, f"owner {index + 1} of {len(owners)}")
         first = owners[0]
         excess = first.load(now) / first.entry.slots - MAX_LOAD_PER_SLOT
-        wait = excess * (first.latency_s or DEFAULT_SERVICE_S)
+        wait = excess * (first.latency_s or DEFAULT_LATENCY_S)
         return NoCapacity("every owner has a long queue", max(MIN_RETRY_AFTER_S, wait))
 
     def _accepts_more(self, view: WorkerView, now: float) -> bool:
@@ -149,13 +149,13 @@
         return view.sent_last_second(now) + 1 <= rate
 
     def _owners(
-        self, wanted: WorkerRequest, views: list[WorkerView]
+        self, request: WorkerRequest, views: list[WorkerView]
     ) -> list[WorkerView]:
-        key = wanted.object_key
-        if not key or not wanted.route.sticky:
+        key = request.object_key
+        if not key or not request.route.sticky:
             key = str(self._random.random())
         ordered = sorted(views, key=lambda view: self._owner_score(key, view))
-        if wanted.route.kind is not RequestKind.DOWNLOAD:
+        if request.route.kind is not RequestKind.DOWNLOAD:
             return ordered[:OWNERS_PER_OBJECT]
         # Sending a large answer between regions costs more than a second owner.
         local = [view for view in ordered if view.region == self._region]
@@ -164,5 +164,5 @@
 
     def _owner_score(self, key: str, view: WorkerView) -> float:
         """Return the weighted rendezvous score; the lowest scores own the object."""
-        draw = unit_interval(key, view.entry.id) or 1e-12
-        return -log(draw) / view.entry.slots
+        uniform = unit_interval(key, view.entry.id) or 1e-12
+        return -log(uniform) / view.entry.slots
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -21,7 +21,7 @@
 LATENCY_WEIGHT = 0.2
 # A worker counts as unresponsive if it has requests in flight and answers none
 # for this multiple of its average latency, but at least for the minimum. Service
-# times vary by a factor of three, and a request may queue behind another one.
+# times vary by a factor of three, and a request may queue for as long again.
 SILENCE_TIMEOUT_LATENCIES = 5.0
 MIN_SILENCE_TIMEOUT_S = 1.2
 
@@ -119,7 +119,7 @@
 
     def sent_last_second(self, now: float) -> int:
         """Return the number of requests that this instance sent in the last second."""
-        return sum(1 for moment in self.sent if moment > now - 1.0)
+        return sum(1 for sent_at in self.sent if sent_at > now - 1.0)
 
     def record_success(self, latency_s: float) -> None:
         """Record a regular answer of the worker."""
@@ -133,6 +133,8 @@
     def record_failure(self, now: float, cold_s: float, *, unreachable: bool) -> None:
         """Record a failure that may mean that the worker is down.
 
+        The backoff doubles with each consecutive failure, up to a maximum.
+
         :param cold_s: duration of the cold start once the worker is back.
         :param unreachable: whether the connection failed.
         """
--- a/packages/policies/src/sycamorenotch_policies/_worker_state.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_state.py
@@ -138,7 +138,7 @@
     def shed_contradicts_report(self, now: timedelta) -> bool:
         """Return whether a worker that shed a request had reported free slots.
 
-        Such a contradiction halves the weight of the worker's reports.
+        Such a contradiction reduces the weight of the worker's reports.
         """
         report = self._report
         if report is None or report.is_full or not self._report_weight(now):
