--- a/packages/policies/src/sycamorenotch_policies/_retry.py
+++ b/packages/policies/src/sycamorenotch_policies/_retry.py
@@ -13,7 +13,7 @@
 from sycamorenotch_kernel import Ran
 from sycamorenotch_kernel import retry_rules
 
-MAX_ATTEMPTS = 3
+ATTEMPT_LIMIT = 3
 BUDGET_PER_FIRST_ATTEMPT = 0.1
 MAX_BUDGET = 10.0
 BASE_DELAY = timedelta(milliseconds=10)
@@ -107,7 +107,7 @@
         """Retry up to the maximum number of attempts."""
         if not may_run_again(attempt):
             return GiveUp("the request may have run")
-        if attempt.number >= MAX_ATTEMPTS:
+        if attempt.number >= ATTEMPT_LIMIT:
             return GiveUp("the attempts are used up")
         return Retry(timedelta())
 
@@ -139,7 +139,7 @@
             return GiveUp("another attempt would not change the failure")
         if not may_run_again(attempt):
             return GiveUp("the request may have run")
-        if attempt.number >= MAX_ATTEMPTS:
+        if attempt.number >= ATTEMPT_LIMIT:
             return GiveUp("the attempts are used up")
         if self._budget < 1:
             return GiveUp("the retry budget is used up")
