--- a/packages/daemon/src/sycamorenotch_daemon/_membership.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership.py
@@ -23,7 +23,7 @@
 from sycamorenotch_kernel import components
 from sycamorenotch_policies import FleetMember
 from sycamorenotch_policies import Membership
-from sycamorenotch_policies import PeerNews
+from sycamorenotch_policies import PeerState
 from sycamorenotch_policies import Transition
 from sycamorenotch_policies import neighbours
 from sycamorenotch_policies import successor
@@ -79,7 +79,7 @@
     def list_is(self, listed: Iterable[ListedInstance]) -> None:
         """Merge the platform's list."""
         self._listed = {entry.id: entry for entry in listed}
-        self._report(self._members.list_is(self._listed.values(), self._now()))
+        self._report(self._members.update_list(self._listed.values(), self._now()))
         self._choose()
         self._mesh.aim(self._aims)
 
@@ -170,7 +170,7 @@
         if self._round % WATCHER_ROUNDS == 0:
             targets.update(self._watchers)
         for instance in sorted(targets - {self._me}):
-            self._members.asked(instance, self._now())
+            self._members.expect_answer(instance, self._now())
             self._mesh.send(instance, self._heartbeat(answer=True))
 
     def _choose(self) -> None:
@@ -183,7 +183,7 @@
         self._contacts = neighbours(self._me, self._listed, CONTACTS)
         chosen = {*self._watchers, *self._contacts, self._successor} - {self._me}
         observed = {i for i in chosen if i is not None}
-        self._members.release(observed)
+        self._members.expect_answers_only_from(observed)
         wanted = observed | {i for i in self._kept.values() if i != self._me}
         self._aims = {
             i: self._listed[i].peers for i in sorted(wanted) if i in self._listed
@@ -192,7 +192,7 @@
 
     def _on_heartbeat(self, peer: PeerIdentity, message: Heartbeat) -> None:
         now = self._now()
-        news = PeerNews(
+        news = PeerState(
             peer.instance,
             peer.region,
             peer.data_centre,
@@ -201,9 +201,9 @@
             message.generation,
             message.digest.hex(),
         )
-        self._report(self._members.heard(news, now))
+        self._report(self._members.apply_peer_state(news, now))
         for rumour in message.rumours:
-            self._report(self._members.rumour(rumour, now))
+            self._report(self._members.apply_rumour(rumour, now))
         if message.answer:
             self._mesh.send(peer.instance, self._heartbeat(answer=False))
 
--- a/packages/gateway/src/sycamorenotch_gateway/_beats.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_beats.py
@@ -15,7 +15,7 @@
 
 from sycamorenotch_kernel import PeerEntry
 from sycamorenotch_kernel import Resources
-from sycamorenotch_policies import Beat
+from sycamorenotch_policies import Heartbeat
 from sycamorenotch_policies import Signature
 from sycamorenotch_policies import Strike
 
@@ -98,10 +98,10 @@
     def __init__(self) -> None:
         # By identifier and start; after a step of the wall clock a later start
         # may bear an earlier moment.
-        self._described: OrderedDict[tuple[str, int], Beat] = OrderedDict()
+        self._described: OrderedDict[tuple[str, int], Heartbeat] = OrderedDict()
 
     def encode(
-        self, beat: Beat, strikes: tuple[Strike, ...], *, whole: bool = False
+        self, beat: Heartbeat, strikes: tuple[Strike, ...], *, whole: bool = False
     ) -> bytes:
         """Return the datagram of a beat.
 
@@ -116,13 +116,13 @@
                 started=beat.entry.started,
                 sequence=beat.sequence,
                 ready=beat.ready,
-                millicores=round(beat.uses.processors * MILLI),
-                kilobits=round(beat.uses.link_mbps * MILLI),
+                millicores=round(beat.usage.processors * MILLI),
+                kilobits=round(beat.usage.link_mbps * MILLI),
             )
         packed: bytes = msgpack.packb(message.model_dump(by_alias=True))
         return packed
 
-    def decode(self, datagram: bytes) -> tuple[Beat | None, tuple[Strike, ...]]:
+    def decode(self, datagram: bytes) -> tuple[Heartbeat | None, tuple[Strike, ...]]:
         """Return the beat of a datagram, and the strikes that it tells.
 
         The beat is missing if its instance has not been described yet.
@@ -140,16 +140,16 @@
         self._describe(beat)
         return beat, tuple(map(_strike, message.strikes))
 
-    def _pulse(self, message: PulseMessage) -> Beat | None:
+    def _pulse(self, message: PulseMessage) -> Heartbeat | None:
         known = self._described.get((message.id, message.started))
         if known is None:
             return None
         uses = Resources(message.millicores / MILLI, message.kilobits / MILLI)
         return dataclasses.replace(
-            known, sequence=message.sequence, ready=message.ready, uses=uses
+            known, sequence=message.sequence, ready=message.ready, usage=uses
         )
 
-    def _describe(self, beat: Beat) -> None:
+    def _describe(self, beat: Heartbeat) -> None:
         key = (beat.entry.id, beat.entry.started)
         self._described[key] = beat
         self._described.move_to_end(key)
@@ -157,7 +157,7 @@
             self._described.popitem(last=False)
 
 
-def _whole(beat: Beat, strikes: tuple[Strike, ...]) -> BeatMessage:
+def _whole(beat: Heartbeat, strikes: tuple[Strike, ...]) -> BeatMessage:
     entry = beat.entry
     return BeatMessage(
         id=entry.id,
@@ -169,16 +169,16 @@
         sequence=beat.sequence,
         leaving=entry.leaving,
         ready=beat.ready,
-        processors=beat.has.processors,
-        link_mbps=beat.has.link_mbps,
-        used_processors=beat.uses.processors,
-        used_link_mbps=beat.uses.link_mbps,
+        processors=beat.capacity.processors,
+        link_mbps=beat.capacity.link_mbps,
+        used_processors=beat.usage.processors,
+        used_link_mbps=beat.usage.link_mbps,
         strikes=tuple(map(_strike_message, strikes)),
     )
 
 
-def _beat(message: BeatMessage) -> Beat:
-    return Beat(
+def _beat(message: BeatMessage) -> Heartbeat:
+    return Heartbeat(
         PeerEntry(
             message.id,
             message.region,
--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -39,7 +39,6 @@
 from sycamorenotch_policies import WorkerChoice
 from sycamorenotch_policies import WorkerRequest
 from sycamorenotch_policies import pick_service
-from sycamorenotch_policies import unit_interval
 
 # Patience of a caller that names none on a route without a time limit.
 DEFAULT_PATIENCE_S = 30.0
@@ -127,7 +126,7 @@
         held = self._suspicion.refusal(self._suspicion.sign(call))
         if held is not None:
             return Error(held)
-        progress.service = pick_service(route, unit_interval("split", call.id))
+        progress.service = pick_service(route, hash_to_unit_interval("split", call.id))
         patience = DEFAULT_PATIENCE_S if call.patience_s is None else call.patience_s
         patience = max(LEAST_REMAINING_S, patience - ANSWER_MARGIN_S)
         bound = patience if route.timeout_s is None else min(patience, route.timeout_s)
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -51,10 +51,10 @@
 from sycamorenotch_policies._distribution import ConfigurationText
 from sycamorenotch_policies._distribution import Confirmation
 from sycamorenotch_policies._fleet import FleetMember
-from sycamorenotch_policies._grant_holding import GrantHolding
-from sycamorenotch_policies._grants import GONE_GRACE
+from sycamorenotch_policies._grant_holding import HeldGrants
+from sycamorenotch_policies._grants import GONE_GRACE_PERIOD
 from sycamorenotch_policies._grants import LAPSE_MARGIN
-from sycamorenotch_policies._grants import LOAN_LIFE
+from sycamorenotch_policies._grants import LOAN_LIFETIME
 from sycamorenotch_policies._grants import GrantDecision
 from sycamorenotch_policies._grants import apportion
 from sycamorenotch_policies._grants import regrant
@@ -63,23 +63,23 @@
 from sycamorenotch_policies._lease import LeaseCommand
 from sycamorenotch_policies._lease import LeaseFailed
 from sycamorenotch_policies._lease import LeaseFound
-from sycamorenotch_policies._lease import LeaseInput
 from sycamorenotch_policies._lease import LeaseMissing
 from sycamorenotch_policies._lease import LeaseRecord
+from sycamorenotch_policies._lease import LeaseResult
 from sycamorenotch_policies._lease import LeaseWritten
 from sycamorenotch_policies._lease import ReadLease
 from sycamorenotch_policies._lease import WriteLease
 from sycamorenotch_policies._lease import lease_candidates
 from sycamorenotch_policies._ledger import ShiftLedger
-from sycamorenotch_policies._liveness import Beat
+from sycamorenotch_policies._liveness import Heartbeat
 from sycamorenotch_policies._liveness import Liveness
-from sycamorenotch_policies._liveness import beat_interval_s
+from sycamorenotch_policies._liveness import heartbeat_interval_s
 from sycamorenotch_policies._lookup import LookupAnswer
 from sycamorenotch_policies._lookup import LookupTable
 from sycamorenotch_policies._measurements import Assessment
 from sycamorenotch_policies._measurements import assess
 from sycamorenotch_policies._membership import Membership
-from sycamorenotch_policies._membership import PeerNews
+from sycamorenotch_policies._membership import PeerState
 from sycamorenotch_policies._membership import Transition
 from sycamorenotch_policies._named_instances import lookup_answer
 from sycamorenotch_policies._outcomes import Outcome
@@ -105,8 +105,8 @@
 from sycamorenotch_policies._retry_budget import RetryBudget
 from sycamorenotch_policies._retry_budget import RetryLimits
 from sycamorenotch_policies._route_table import RouteTable
+from sycamorenotch_policies._route_table import hash_to_unit_interval
 from sycamorenotch_policies._route_table import pick_service
-from sycamorenotch_policies._route_table import unit_interval
 from sycamorenotch_policies._steering import make_plan
 from sycamorenotch_policies._steering_view import Demand
 from sycamorenotch_policies._steering_view import InstanceContact
@@ -128,7 +128,7 @@
 
 __all__ = [
     "BODY_LIMIT_BYTES",
-    "GONE_GRACE",
+    "GONE_GRACE_PERIOD",
     "LAPSE_MARGIN",
     "LOAN_LIFE",
     "AdaptiveIdleTimeout",
@@ -138,7 +138,6 @@
     "AdmissionSetup",
     "Admitted",
     "Assessment",
-    "Beat",
     "BlockTable",
     "BudgetedRetry",
     "Choice",
@@ -180,9 +179,9 @@
     "LeaseCommand",
     "LeaseFailed",
     "LeaseFound",
-    "LeaseInput",
     "LeaseMissing",
     "LeaseRecord",
+    "LeaseResult",
     "LeaseWritten",
     "Liveness",
     "LoadReport",
@@ -194,7 +193,7 @@
     "NeverRetry",
     "NoCapacity",
     "Outcome",
-    "PeerNews",
+    "PeerState",
     "PlainRetry",
     "PlanDecision",
     "Quarantine",
@@ -234,20 +233,20 @@
     "WriteLease",
     "apportion",
     "assess",
-    "beat_interval_s",
     "excess_grants",
     "excess_links",
     "excess_shifts",
     "fingerprint",
+    "hash_to_unit_interval",
+    "heartbeat_interval_s",
     "lease_candidates",
     "lookup_answer",
     "make_plan",
     "neighbours",
     "pick_service",
-    "regrant",
+    "reallocate_grants",
     "sign_request",
     "successor",
-    "unit_interval",
     "watchers",
     "worker_quotas",
 ]
