--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -38,6 +38,7 @@
 from sycamorenotch_policies import RetryLimits
 from sycamorenotch_policies import WorkerChoice
 from sycamorenotch_policies import WorkerRequest
+from sycamorenotch_policies import hash_to_unit_interval
 from sycamorenotch_policies import pick_service
 
 # Patience of a caller that names none on a route without a time limit.
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -57,7 +57,7 @@
 from sycamorenotch_policies._grants import LOAN_LIFETIME
 from sycamorenotch_policies._grants import GrantDecision
 from sycamorenotch_policies._grants import apportion
-from sycamorenotch_policies._grants import regrant
+from sycamorenotch_policies._grants import reallocate_grants
 from sycamorenotch_policies._idle_timeout import AdaptiveIdleTimeout
 from sycamorenotch_policies._lease import Lease
 from sycamorenotch_policies._lease import LeaseCommand
@@ -130,7 +130,7 @@
     "BODY_LIMIT_BYTES",
     "GONE_GRACE_PERIOD",
     "LAPSE_MARGIN",
-    "LOAN_LIFE",
+    "LOAN_LIFETIME",
     "AdaptiveIdleTimeout",
     "AdmissionDecision",
     "AdmissionDecisions",
@@ -173,7 +173,8 @@
     "FleetMember",
     "GiveUp",
     "GrantDecision",
-    "GrantHolding",
+    "Heartbeat",
+    "HeldGrants",
     "InstanceContact",
     "Lease",
     "LeaseCommand",
--- a/packages/policies/src/sycamorenotch_policies/_worker_choice.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_choice.py
@@ -13,7 +13,7 @@
 from sycamorenotch_kernel import RequestKind
 from sycamorenotch_kernel import ServiceLimits
 from sycamorenotch_kernel import worker_choices
-from sycamorenotch_policies._route_table import unit_interval
+from sycamorenotch_policies._route_table import hash_to_unit_interval
 from sycamorenotch_policies._worker_directory import WorkerView
 
 # Requests per slot. Behind a longer queue most requests miss their deadline.
@@ -164,5 +164,5 @@
 
     def _owner_score(self, key: str, view: WorkerView) -> float:
         """Return the weighted rendezvous score; the lowest scores own the object."""
-        uniform = unit_interval(key, view.entry.id) or 1e-12
+        uniform = hash_to_unit_interval(key, view.entry.id) or 1e-12
         return -log(uniform) / view.entry.slots
