--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -21,7 +21,7 @@
 from sycamorenotch_kernel import Ran
 from sycamorenotch_kernel import Verdict
 from sycamorenotch_kernel import WorkerReply
-from sycamorenotch_policies import Chosen
+from sycamorenotch_policies import ChosenWorker
 from sycamorenotch_policies import WorkerView
 from sycamorenotch_transport import ExchangeError
 from sycamorenotch_transport import HttpResponse
@@ -64,7 +64,7 @@
         self,
         call: ForwardCall,
         route: ForwardingRoute,
-        chosen: Chosen,
+        chosen: ChosenWorker,
         deadline: float,
     ) -> AttemptOutcome:
         """Send a request and wait for the answer or the deadline.
@@ -73,20 +73,20 @@
         """
         view = chosen.view
         started_at = self._node.clock()
-        view.started(started_at)
+        view.record_start(started_at)
         try:
             outcome = await self._exchange(call, route, view, deadline)
         finally:
-            view.ended(started_at)
+            view.record_end(started_at)
         now = self._node.clock()
         reply = outcome.reply
         if reply is not None and reply.load is not None:
             view.observe_load(reply.load, now)
         if reply is not None:
-            view.heard_at = now
+            view.last_answer_at = now
             self._suspicion.record_alive(view.entry.id)
         if reply is not None and reply.verdict is Verdict.ANSWER:
-            view.succeeded(now - started_at)
+            view.record_success(now - started_at)
             self._suspicion.record_answered(self._suspicion.signature_of(call))
             return outcome
         self._report_failure(call, chosen, outcome, now - started_at)
@@ -116,7 +116,7 @@
         except CancelledError:
             if silence_timeout is None or not silence_timeout.expired:
                 raise
-            detail = f"the worker has been silent for {view.silence_s():.1f} s"
+            detail = f"the worker has been silent for {view.silence_timeout_s():.1f} s"
             return AttemptOutcome(Ran.UNKNOWN, detail)
         finally:
             if silence_timeout is not None:
@@ -132,7 +132,7 @@
                 dialect.encode_attempt(call, view.entry.id, remaining_s),
                 min(CONNECT_TIMEOUT_S, remaining_s),
                 lambda response: dialect.matches_request(call, response),
-                self._workers.idle_timeout(view.entry.service).bound_s(now),
+                self._workers.idle_timeout(view.entry.service).max_idle_s(now),
             )
         )
         return exchange.addTimeout(remaining_s + ANSWER_TRANSIT_S, self._node.reactor)
@@ -144,13 +144,13 @@
         now = self._node.clock()
         service = view.entry.service
         idle_timeout = self._workers.idle_timeout(service)
-        if error.began or not idle_timeout.broke_off(
+        if error.began or not idle_timeout.record_close(
             error.idle_s, now - started_at, now
         ):
             return
         idle_s, trusted_s = (
             round(error.idle_s or 0.0, 3),
-            round(idle_timeout.bound_s(now), 3),
+            round(idle_timeout.max_idle_s(now), 3),
         )
         self._node.sink.emit(
             IdleConnectionForgotten(view.entry.id, service, idle_s, trusted_s)
@@ -169,7 +169,7 @@
         if unreachable or error.began or error.idle_s is None:
             service = view.entry.service
             now = self._node.clock()
-            view.failed(
+            view.record_failure(
                 now, self._workers.directory.cold_s(service), unreachable=unreachable
             )
             self._node.sink.emit(
@@ -178,14 +178,18 @@
                     service,
                     str(error),
                     view.failures,
-                    round(view.paused_until - now, 3),
+                    round(view.backoff_until - now, 3),
                     unreachable,
                 )
             )
         return AttemptOutcome(Ran.UNKNOWN if error.sent else Ran.NO, str(error))
 
     def _report_failure(
-        self, call: ForwardCall, chosen: Chosen, outcome: AttemptOutcome, seconds: float
+        self,
+        call: ForwardCall,
+        chosen: ChosenWorker,
+        outcome: AttemptOutcome,
+        seconds: float,
     ) -> None:
         view = chosen.view
         reply = outcome.reply
@@ -226,7 +230,7 @@
             self._timer.cancel()
 
     def _check(self) -> None:
-        remaining_s = self._view.silent_at() - self._node.clock()
+        remaining_s = self._view.unresponsive_from() - self._node.clock()
         if remaining_s <= 0:
             self.expired = True
             self._exchange.cancel()
--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -36,10 +36,10 @@
 from sycamorenotch_policies import NoCapacity
 from sycamorenotch_policies import RetryBudget
 from sycamorenotch_policies import RetryLimits
-from sycamorenotch_policies import WorkerRequest
 from sycamorenotch_policies import WorkerChoice
-from sycamorenotch_policies import pick_service
+from sycamorenotch_policies import WorkerRequest
 from sycamorenotch_policies import hash_to_unit_interval
+from sycamorenotch_policies import pick_service
 
 # Applies if neither the caller nor the route sets a timeout.
 DEFAULT_TIMEOUT_S = 30.0
@@ -213,11 +213,13 @@
 
     def _attempt_allowed(self, progress: _Progress, now: float) -> bool:
         if progress.attempts == 0:
-            self._retry_budget.requested(progress.service, now)
+            self._retry_budget.record_first_attempt(progress.service, now)
             return True
-        return self._retry_budget.take(progress.service, now, self._peers.live_count)
+        return self._retry_budget.try_acquire(progress.service, now, self._peers.live_count)
 
-    def _overload_refusal(self, choice: NoCapacity, now: float, service: str) -> Refusal:
+    def _overload_refusal(
+        self, choice: NoCapacity, now: float, service: str
+    ) -> Refusal:
         detail = f"{choice.reason} ({self._workers.directory.describe(service, now)})"
         return Refusal(ErrorKind.OVERLOADED, Ran.NO, detail, choice.retry_after_s)
 
--- a/packages/gateway/src/sycamorenotch_gateway/_heartbeats.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_heartbeats.py
@@ -15,7 +15,7 @@
 
 from sycamorenotch_kernel import PeerEntry
 from sycamorenotch_kernel import Resources
-from sycamorenotch_policies import Beat
+from sycamorenotch_policies import Heartbeat
 from sycamorenotch_policies import Signature
 from sycamorenotch_policies import Strike
 
@@ -98,10 +98,10 @@
     def __init__(self) -> None:
         # By identifier and start time. Start times do not order restarts, as the
         # wall clock may step back.
-        self._known: OrderedDict[tuple[str, int], Beat] = OrderedDict()
+        self._known: OrderedDict[tuple[str, int], Heartbeat] = OrderedDict()
 
     def encode(
-        self, heartbeat: Beat, strikes: tuple[Strike, ...], *, full: bool = False
+        self, heartbeat: Heartbeat, strikes: tuple[Strike, ...], *, full: bool = False
     ) -> bytes:
         """Return the datagram of a heartbeat.
 
@@ -119,13 +119,13 @@
                 started=heartbeat.entry.started,
                 sequence=heartbeat.sequence,
                 ready=heartbeat.ready,
-                millicores=round(heartbeat.uses.processors * MILLI_PER_UNIT),
-                kilobits=round(heartbeat.uses.link_mbps * MILLI_PER_UNIT),
+                millicores=round(heartbeat.usage.processors * MILLI_PER_UNIT),
+                kilobits=round(heartbeat.usage.link_mbps * MILLI_PER_UNIT),
             )
         packed: bytes = msgpack.packb(message.model_dump(by_alias=True))
         return packed
 
-    def decode(self, datagram: bytes) -> tuple[Beat | None, tuple[Strike, ...]]:
+    def decode(self, datagram: bytes) -> tuple[Heartbeat | None, tuple[Strike, ...]]:
         """Return the heartbeat and the strikes of a datagram.
 
         The heartbeat is ``None`` if it is compact and no full one came before.
@@ -143,18 +143,18 @@
         self._remember(heartbeat)
         return heartbeat, tuple(map(_to_strike, message.strikes))
 
-    def _expand(self, message: CompactHeartbeatMessage) -> Beat | None:
+    def _expand(self, message: CompactHeartbeatMessage) -> Heartbeat | None:
         known = self._known.get((message.id, message.started))
         if known is None:
             return None
-        uses = Resources(
+        usage = Resources(
             message.millicores / MILLI_PER_UNIT, message.kilobits / MILLI_PER_UNIT
         )
         return dataclasses.replace(
-            known, sequence=message.sequence, ready=message.ready, uses=uses
+            known, sequence=message.sequence, ready=message.ready, usage=usage
         )
 
-    def _remember(self, heartbeat: Beat) -> None:
+    def _remember(self, heartbeat: Heartbeat) -> None:
         key = (heartbeat.entry.id, heartbeat.entry.started)
         self._known[key] = heartbeat
         self._known.move_to_end(key)
@@ -162,7 +162,9 @@
             self._known.popitem(last=False)
 
 
-def _full_message(heartbeat: Beat, strikes: tuple[Strike, ...]) -> HeartbeatMessage:
+def _full_message(
+    heartbeat: Heartbeat, strikes: tuple[Strike, ...]
+) -> HeartbeatMessage:
     entry = heartbeat.entry
     return HeartbeatMessage(
         id=entry.id,
@@ -174,16 +176,16 @@
         sequence=heartbeat.sequence,
         leaving=entry.leaving,
         ready=heartbeat.ready,
-        processors=heartbeat.has.processors,
-        link_mbps=heartbeat.has.link_mbps,
-        used_processors=heartbeat.uses.processors,
-        used_link_mbps=heartbeat.uses.link_mbps,
+        processors=heartbeat.capacity.processors,
+        link_mbps=heartbeat.capacity.link_mbps,
+        used_processors=heartbeat.usage.processors,
+        used_link_mbps=heartbeat.usage.link_mbps,
         strikes=tuple(map(_strike_message, strikes)),
     )
 
 
-def _to_heartbeat(message: HeartbeatMessage) -> Beat:
-    return Beat(
+def _to_heartbeat(message: HeartbeatMessage) -> Heartbeat:
+    return Heartbeat(
         PeerEntry(
             message.id,
             message.region,
--- a/packages/gateway/src/sycamorenotch_gateway/_peers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_peers.py
@@ -120,7 +120,9 @@
 
     def _own_heartbeat(self) -> Heartbeat:
         has = self._node.settings.resources
-        return Heartbeat(self.entry, self._sequence, self.ready, has, self.used_resources)
+        return Heartbeat(
+            self.entry, self._sequence, self.ready, has, self.used_resources
+        )
 
     def broadcast_heartbeat(self) -> None:
         """Send every peer a full heartbeat now, after a change of this instance."""
@@ -137,19 +139,21 @@
         self._suspicion.merge(strikes)
         if heartbeat is None:
             return
-        if self.failure_detector.hear(heartbeat, self._node.clock()):
+        if self.failure_detector.observe(heartbeat, self._node.clock()):
             self._node.sink.emit(PeerJoined(heartbeat.entry.id, self.live_count))
             self._send(self._message(full=True), heartbeat.entry)
 
     async def _heartbeat_turn(self) -> timedelta:
         self._send_heartbeats()
-        for name in self.failure_detector.lost(self._node.clock()):
+        for name in self.failure_detector.remove_silent(self._node.clock()):
             self._node.sink.emit(PeerLost(name, self.live_count))
-        return timedelta(seconds=heartbeat_interval_s(len(self.failure_detector.contacts())))
+        return timedelta(
+            seconds=heartbeat_interval_s(len(self.failure_detector.recipients()))
+        )
 
     def _send_heartbeats(self, *, full: bool = False) -> None:
         message = self._message(full=full)
-        for entry in self.failure_detector.contacts():
+        for entry in self.failure_detector.recipients():
             self._send(message, entry)
 
     def _message(self, *, full: bool = False) -> bytes:
@@ -177,7 +181,7 @@
         if found.is_error():
             return self._back_off(found.error.detail)
         self._failures = 0
-        self.failure_detector.know(
+        self.failure_detector.set_entries(
             item.value for item in found.ok.items if item.value is not None
         )
         self._send_heartbeats(full=True)
--- a/packages/gateway/src/sycamorenotch_gateway/_workers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_workers.py
@@ -22,8 +22,8 @@
 from sycamorenotch_kernel import Topic
 from sycamorenotch_kernel import WorkerEntry
 from sycamorenotch_kernel import gateway_components
-from sycamorenotch_policies import IdleTrust
-from sycamorenotch_policies import WorkerBook
+from sycamorenotch_policies import AdaptiveIdleTimeout
+from sycamorenotch_policies import WorkerDirectory
 from sycamorenotch_policies import WorkerView
 from sycamorenotch_transport import Http1Pool
 
@@ -46,11 +46,11 @@
 
     def __init__(self, node: GatewayNode) -> None:
         self._node = node
-        self.directory = WorkerBook(
+        self.directory = WorkerDirectory(
             lambda data_centre: node.settings.placement.region_of(data_centre)
         )
         self._pools: dict[str, Http1Pool] = {}
-        self._idle_timeouts: dict[str, IdleTrust] = {}
+        self._idle_timeouts: dict[str, AdaptiveIdleTimeout] = {}
         self._follower = Follower(node, Topic.WORKERS, self._apply_batch)
         self._evacuations = Follower(node, Topic.EVACUATIONS, self._apply_evacuations)
         self._evacuated_data_centres: set[str] = set()
@@ -88,9 +88,9 @@
             )
         return self._pools[name]
 
-    def idle_timeout(self, service: str) -> IdleTrust:
+    def idle_timeout(self, service: str) -> AdaptiveIdleTimeout:
         """Return the learned idle timeout of a service's workers."""
-        return self._idle_timeouts.setdefault(service, IdleTrust())
+        return self._idle_timeouts.setdefault(service, AdaptiveIdleTimeout())
 
     def remove_reassigned(self, view: WorkerView) -> None:
         """Remove a worker whose address now belongs to another one."""
@@ -151,7 +151,7 @@
         regained = self._follower.regained_at
         until = -inf if regained is None else regained + ENTRY_RETURN_GRACE_S
         if now < until and not view.entry.draining and not view.unreachable:
-            self.directory.miss(name, until)
+            self.directory.mark_missing(name, until)
             return
         self._remove(name, "its entry was removed", revision)
 
--- /dev/null
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -0,0 +1,300 @@
+"""Per-worker state of an instance: entries, load reports and observed outcomes."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from dataclasses import field
+from math import inf
+from typing import final
+
+from sycamorenotch_kernel import LoadReport
+from sycamorenotch_kernel import ServiceLimits
+from sycamorenotch_kernel import WorkerEntry
+
+# A load report is stale after the service time of a few requests.
+REPORT_LIFETIME_S = 1.5
+INITIAL_BACKOFF_S = 0.3
+MAX_BACKOFF_S = 3.0
+# Smoothing factor of the moving average of the latency.
+LATENCY_WEIGHT = 0.2
+# A worker counts as unresponsive if it has requests in flight and answers none
+# for this multiple of its average latency, but at least for the minimum. Service
+# times vary by a factor of three, and a request may queue for as long again.
+SILENCE_TIMEOUT_LATENCIES = 5.0
+MIN_SILENCE_TIMEOUT_S = 1.2
+
+
+@final
+@dataclass(slots=True)
+class WorkerView:
+    """One worker, as this instance sees it.
+
+    All times are seconds on the monotonic clock.
+
+    :param entry: last entry of the worker.
+    :param region: region of the worker's data centre.
+    :param seen_at: time at which the entry was last received.
+    :param others_in_flight: requests of other instances, by the last load report.
+    :param reported_at: time of the last load report.
+    :param failures: consecutive failures.
+    :param backoff_until: end of the backoff after a failure.
+    :param unreachable: whether the worker could not be connected to since its
+        last regular answer.
+    :param cold_until: end of the cold start, with a limited request rate.
+    :param missing_until: time at which the worker is removed unless its expired
+        entry comes back; none while the entry is present.
+    :param latency_s: moving average of the latency of regular answers.
+    :param last_answer_at: time of the last answer to this instance.
+    :param sent: send times of the requests of the last second.
+    :param in_flight_since: send times of the requests in flight.
+    """
+
+    entry: WorkerEntry
+    region: str
+    seen_at: float
+    others_in_flight: float = 0.0
+    reported_at: float = -1e9
+    failures: int = 0
+    backoff_until: float = -1e9
+    unreachable: bool = False
+    cold_until: float = -1e9
+    missing_until: float | None = None
+    latency_s: float | None = None
+    last_answer_at: float = -1e9
+    sent: deque[float] = field(default_factory=deque)
+    in_flight_since: list[float] = field(default_factory=list)
+
+    @property
+    def in_flight(self) -> int:
+        """Number of requests of this instance at the worker."""
+        return len(self.in_flight_since)
+
+    def silence_timeout_s(self) -> float:
+        """Return how long the worker may give no answer while it has requests."""
+        return max(
+            MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_LATENCIES * (self.latency_s or 0.0)
+        )
+
+    def unresponsive_from(self) -> float:
+        """Return when the worker becomes unresponsive; infinite while it is idle."""
+        if not self.in_flight_since:
+            return inf
+        return (
+            max(self.last_answer_at, min(self.in_flight_since))
+            + self.silence_timeout_s()
+        )
+
+    def load(self, now: float) -> float:
+        """Return the estimated number of requests at the worker, running and queued.
+
+        The share of other instances fades out as the last load report ages.
+        """
+        age = now - self.reported_at
+        if age >= REPORT_LIFETIME_S:
+            return float(self.in_flight)
+        return self.in_flight + self.others_in_flight * (1.0 - age / REPORT_LIFETIME_S)
+
+    def observe_load(self, report: LoadReport, now: float) -> None:
+        """Record a load report that came with an answer to this instance."""
+        # The report may still count the request that it answers.
+        own = self.in_flight + 1
+        self.others_in_flight = max(0.0, report.running + report.waiting - own)
+        self.reported_at = now
+
+    def record_start(self, now: float) -> None:
+        """Record that a request is sent."""
+        self.in_flight_since.append(now)
+        self.sent.append(now)
+        while self.sent and self.sent[0] <= now - 1.0:
+            self.sent.popleft()
+
+    def record_end(self, begun: float) -> None:
+        """Record that a request is no longer in flight.
+
+        :param begun: time that was passed to :meth:`record_start`.
+        """
+        self.in_flight_since.remove(begun)
+
+    def sent_last_second(self, now: float) -> int:
+        """Return the number of requests that this instance sent in the last second."""
+        return sum(1 for sent_at in self.sent if sent_at > now - 1.0)
+
+    def record_success(self, latency_s: float) -> None:
+        """Record a regular answer of the worker."""
+        self.failures = 0
+        self.unreachable = False
+        known = self.latency_s
+        self.latency_s = (
+            latency_s if known is None else known + LATENCY_WEIGHT * (latency_s - known)
+        )
+
+    def record_failure(self, now: float, cold_s: float, *, unreachable: bool) -> None:
+        """Record a failure that may mean that the worker is down.
+
+        The backoff doubles with each consecutive failure, up to a maximum.
+
+        :param cold_s: duration of the cold start once the worker is back.
+        :param unreachable: whether the connection failed.
+        """
+        self.failures += 1
+        backoff_s = min(INITIAL_BACKOFF_S * 2.0 ** (self.failures - 1), MAX_BACKOFF_S)
+        self.backoff_until = now + backoff_s
+        if unreachable:
+            self.unreachable = True
+            self.cold_until = max(self.cold_until, self.backoff_until + cold_s)
+
+
+@final
+class WorkerDirectory:
+    """Known workers of every service, indexed by service.
+
+    :param region_of: returns the region of a data centre.
+    """
+
+    def __init__(self, region_of: Callable[[str], str]) -> None:
+        self._region_of = region_of
+        self._views: dict[str, WorkerView] = {}
+        self._services: dict[str, tuple[WorkerView, ...]] = {}
+        self._evacuated: frozenset[str] = frozenset()
+        self.limits: dict[str, ServiceLimits] = {}
+        self.version = 0
+
+    def __len__(self) -> int:
+        return len(self._views)
+
+    def get(self, worker: str) -> WorkerView | None:
+        """Return a worker by its identifier, or none if it is unknown."""
+        return self._views.get(worker)
+
+    def cold_s(self, service: str) -> float:
+        """Return the duration of the cold start of a service's workers, in seconds."""
+        limits = self.limits.get(service)
+        return 0.0 if limits is None else limits.cold_s
+
+    def usable(self, service: str, now: float) -> tuple[WorkerView, ...]:
+        """Return the workers of a service that are not in backoff."""
+        return tuple(
+            view
+            for view in self._services.get(service, ())
+            if now >= view.backoff_until
+        )
+
+    def known(self, service: str) -> tuple[WorkerView, ...]:
+        """Return the workers of a service, including those in backoff."""
+        return self._services.get(service, ())
+
+    def describe(self, service: str, now: float) -> str:
+        """Describe how many workers a service has and why some get no requests."""
+        views = [v for v in self._views.values() if v.entry.service == service]
+        counts = {
+            "are draining": sum(view.entry.draining for view in views),
+            "are in data centres under evacuation": sum(
+                view.entry.data_centre in self._evacuated for view in views
+            ),
+            "pause after failures": sum(now < view.backoff_until for view in views),
+            "have just started": sum(now < view.cold_until for view in views),
+            "are unresponsive": sum(now >= view.unresponsive_from() for view in views),
+        }
+        parts = [f"{count} {what}" for what, count in counts.items() if count]
+        return ", ".join([f"{len(views)} workers known", *parts])
+
+    @property
+    def evacuated(self) -> frozenset[str]:
+        """Data centres under evacuation; their workers get no requests."""
+        return self._evacuated
+
+    def put(self, entry: WorkerEntry, now: float) -> bool:
+        """Add a worker or update its entry.
+
+        :return: whether the set of workers changed; always true.
+        """
+        view = self._views.get(entry.id)
+        if view is None:
+            view = self._new_view(entry, now)
+        elif view.entry.incarnation != entry.incarnation:
+            view = self._restarted_view(view, entry, now)
+        else:
+            view.entry = entry
+            if entry.cold_s > 0:
+                view.cold_until = now + entry.cold_s
+        view.missing_until = None
+        view.seen_at = now
+        self._views[entry.id] = view
+        self._rebuild_index()
+        return True
+
+    def remove(self, worker: str) -> None:
+        """Remove a worker."""
+        if self._views.pop(worker, None) is not None:
+            self._rebuild_index()
+
+    def mark_missing(self, worker: str, until: float) -> None:
+        """Keep a worker for now whose entry may only have expired.
+
+        :param until: monotonic time at which the worker is removed unless its
+            entry comes back.
+        """
+        view = self._views.get(worker)
+        if view is not None:
+            view.missing_until = until
+
+    def expire(self, now: float) -> tuple[str, ...]:
+        """Remove the workers whose entries did not come back in time.
+
+        :return: identifiers of the removed workers.
+        """
+        expired = tuple(
+            name
+            for name, view in self._views.items()
+            if view.missing_until is not None and now >= view.missing_until
+        )
+        for name in expired:
+            del self._views[name]
+        if expired:
+            self._rebuild_index()
+        return expired
+
+    def names(self) -> frozenset[str]:
+        """Return the identifiers of all workers."""
+        return frozenset(self._views)
+
+    def evacuate(self, data_centres: frozenset[str], now: float) -> None:
+        """Set the data centres whose workers get no requests.
+
+        Workers of a data centre whose evacuation ends start cold, because they
+        may have lost their cached objects.
+        """
+        returned = self._evacuated - data_centres
+        for view in self._views.values():
+            if view.entry.data_centre in returned:
+                cold_s = self.cold_s(view.entry.service)
+                view.cold_until = max(view.cold_until, now + cold_s)
+        self._evacuated = data_centres
+        self._rebuild_index()
+
+    def _new_view(self, entry: WorkerEntry, now: float) -> WorkerView:
+        region = self._region_of(entry.data_centre)
+        view = WorkerView(entry, region, now)
+        if entry.cold_s > 0:
+            view.cold_until = now + entry.cold_s
+        return view
+
+    def _restarted_view(
+        self, old: WorkerView, entry: WorkerEntry, now: float
+    ) -> WorkerView:
+        view = self._new_view(entry, now)
+        view.in_flight_since = old.in_flight_since
+        cold_s = entry.cold_s or self.cold_s(entry.service)
+        view.cold_until = now + cold_s
+        return view
+
+    def _rebuild_index(self) -> None:
+        self.version += 1
+        found: dict[str, list[WorkerView]] = {}
+        for view in self._views.values():
+            if view.entry.draining or view.entry.data_centre in self._evacuated:
+                continue
+            found.setdefault(view.entry.service, []).append(view)
+        self._services = {service: tuple(views) for service, views in found.items()}
--- a/testing/platform/test_gateway.py
+++ b/testing/platform/test_gateway.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import deferLater
 
-from sycamorenotch_policies import _idle_trust
+from sycamorenotch_policies import _idle_timeout
 from sycamorenotch_transport import header
 
 
@@ -144,8 +144,8 @@
     run_on_site, monkeypatch
 ) -> None:
     # On a slow machine the reset must not be classified as a crash.
-    monkeypatch.setattr(_idle_trust, "FORGOTTEN_S", 60.0)
-    monkeypatch.setattr(_idle_trust, "RELAX_S", 600.0)
+    monkeypatch.setattr(_idle_timeout, "FORGOTTEN_S", 60.0)
+    monkeypatch.setattr(_idle_timeout, "RELAX_S", 600.0)
 
     async def scenario(site) -> None:
         (worker,) = site.workers
