--- a/packages/documents/src/sycamorenotch_documents/_environment.py
+++ b/packages/documents/src/sycamorenotch_documents/_environment.py
@@ -47,13 +47,13 @@
 from sycamorenotch_kernel import Worker
 from sycamorenotch_kernel import document_sections
 
-RANK_LABELS = {rank.label: rank for rank in Rank}
+RANKS_BY_LABEL = {rank.label: rank for rank in Rank}
 
 
-def _rank(label: str) -> Rank:
-    if label not in RANK_LABELS:
-        raise ValueError("one of the ranks " + ", ".join(RANK_LABELS))
-    return RANK_LABELS[label]
+def _rank_with_label(label: str) -> Rank:
+    if label not in RANKS_BY_LABEL:
+        raise ValueError("one of the ranks " + ", ".join(RANKS_BY_LABEL))
+    return RANKS_BY_LABEL[label]
 
 
 SECTION_KINDS = cast("Registry[SectionKind]", document_sections)
@@ -65,7 +65,7 @@
     @field_validator("rank", mode="before")
     @classmethod
     def _parse_rank(cls, value: str) -> Rank:
-        return _rank(value)
+        return _rank_with_label(value)
 
 
 @section(SECTION_KINDS, "environment", named=False)
@@ -134,7 +134,7 @@
 
     @field_validator("between")
     @classmethod
-    def _two_regions(cls, value: tuple[str, ...]) -> tuple[str, ...]:
+    def _require_two_regions(cls, value: tuple[str, ...]) -> tuple[str, ...]:
         if len(value) != 2:
             raise ValueError("exactly two regions")
         return value
@@ -159,7 +159,7 @@
 
     @field_validator("prefix")
     @classmethod
-    def _absolute(cls, value: str) -> str:
+    def _require_absolute_path(cls, value: str) -> str:
         if not value.startswith("/"):
             raise ValueError("a path that starts with /")
         return value
@@ -193,18 +193,18 @@
     :param text: content of the INI file.
     :raises InvalidFileError: if the document has errors; it lists all of them.
     """
-    read = read_sections(text, SECTION_KINDS)
-    problems = (*read.problems, *_cross_check(read))
+    result = read_sections(text, SECTION_KINDS)
+    problems = (*result.problems, *_cross_check(result))
     if problems:
         raise InvalidFileError(problems)
-    return _translate(read.valid)
+    return _translate(result.valid)
 
 
-def _cross_check(read: SectionsRead) -> Iterator[Problem]:
-    sections = read.valid
+def _cross_check(result: SectionsRead) -> Iterator[Problem]:
+    sections = result.valid
     yield from _check_names(sections)
-    yield from _check_ranks(read)
-    yield from _check_references(read)
+    yield from _check_ranks(result)
+    yield from _check_references(result)
     yield from _check_blocks(sections)
     yield from _check_data_centres(sections)
     yield from _check_policies(sections)
@@ -218,15 +218,15 @@
             yield Problem(f"{kind} {name}", "", name, str(exc))
 
 
-def _check_ranks(read: SectionsRead) -> Iterator[Problem]:
-    ranks = read.valid["rank"]
-    present = read.present.get("rank", frozenset())
+def _check_ranks(result: SectionsRead) -> Iterator[Problem]:
+    ranks = result.valid["rank"]
+    present = result.present.get("rank", frozenset())
     for name in ranks:
-        if name not in RANK_LABELS:
-            accepted = "one of the ranks " + ", ".join(RANK_LABELS)
+        if name not in RANKS_BY_LABEL:
+            accepted = "one of the ranks " + ", ".join(RANKS_BY_LABEL)
             yield Problem(f"rank {name}", "", name, accepted)
     if present:
-        for label in sorted(RANK_LABELS.keys() - present):
+        for label in sorted(RANKS_BY_LABEL.keys() - present):
             yield Problem(f"rank {label}", "", "", f"a section [rank {label}]")
     total = sum(model.floor for model in ranks.values())
     if total > 1:
@@ -235,22 +235,22 @@
         )
 
 
-def _check_references(read: SectionsRead) -> Iterator[Problem]:
-    services = read.present.get("service", frozenset())
-    regions = read.present.get("region", frozenset())
-    yield from _unknown_names(read.valid, "route", "service", services)
-    yield from _unknown_names(read.valid, "workers", "service", services)
-    yield from _unknown_names(read.valid, "objective", "service", services)
-    yield from _unknown_names(read.valid, "link", "between", regions)
+def _check_references(result: SectionsRead) -> Iterator[Problem]:
+    services = result.present.get("service", frozenset())
+    regions = result.present.get("region", frozenset())
+    yield from _unknown_names(result.valid, "route", "service", services)
+    yield from _unknown_names(result.valid, "workers", "service", services)
+    yield from _unknown_names(result.valid, "objective", "service", services)
+    yield from _unknown_names(result.valid, "link", "between", regions)
     # The data centres of an invalid region are unknown, so references to data
     # centres can only be checked if every region is valid.
-    if len(read.valid["region"]) == len(regions):
+    if len(result.valid["region"]) == len(regions):
         centres = frozenset(
             chain.from_iterable(
-                model.data_centres for model in read.valid["region"].values()
+                model.data_centres for model in result.valid["region"].values()
             )
         )
-        yield from _unknown_names(read.valid, "workers", "data_centre", centres)
+        yield from _unknown_names(result.valid, "workers", "data_centre", centres)
 
 
 def _unknown_names(
@@ -318,7 +318,9 @@
         shift=ShiftPolicy(**sections["shift"][""].model_dump()),
         bounds=Bounds(**bounds.model_dump()),
         ranks={
-            _rank(name): RankPolicy(rank=_rank(name), **model.model_dump())
+            _rank_with_label(name): RankPolicy(
+                rank=_rank_with_label(name), **model.model_dump()
+            )
             for name, model in sections["rank"].items()
         },
         regions={
--- a/packages/documents/src/sycamorenotch_documents/_ini.py
+++ b/packages/documents/src/sycamorenotch_documents/_ini.py
@@ -171,7 +171,9 @@
     )
     if len(text) > MAX_FILE_CHARACTERS:
         size = f"{len(text)} characters"
-        return parser, [Problem("", "", size, f"at most {MAX_FILE_CHARACTERS}")]
+        return parser, [
+            Problem("", "", size, f"at most {MAX_FILE_CHARACTERS} characters")
+        ]
     try:
         parser.read_string(text)
     except (configparser.Error, ValueError) as exc:
--- a/packages/documents/src/sycamorenotch_documents/_settings.py
+++ b/packages/documents/src/sycamorenotch_documents/_settings.py
@@ -107,10 +107,10 @@
     :param text: content of the INI file.
     :raises InvalidFileError: if the file has errors; it lists all of them.
     """
-    read = read_sections(text, SETTINGS_KINDS)
-    if read.problems:
-        raise InvalidFileError(read.problems)
-    sections = read.valid
+    result = read_sections(text, SETTINGS_KINDS)
+    if result.problems:
+        raise InvalidFileError(result.problems)
+    sections = result.valid
     instance = sections["instance"][""]
     listen = sections["listen"][""]
     store = sections["store"][""]
--- a/testing/architecture/test_layering.py
+++ b/testing/architecture/test_layering.py
@@ -1,4 +1,4 @@
-"""Tests of what each package may import."""
+"""Tests of the layering: which modules each package may import."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 ROOT = Path(__file__).parents[2]
 PACKAGES = ROOT / "packages"
-FOLDERS = {path.name: path for path in PACKAGES.iterdir()} | {
+PACKAGE_FOLDERS = {path.name: path for path in PACKAGES.iterdir()} | {
     "platform": ROOT / "platform"
 }
 
-OWN = {
+ALLOWED_IMPORTS = {
     "kernel": set(),
     "policies": {"kernel"},
     "documents": {"kernel"},
@@ -26,17 +26,18 @@
     "gateway": {"kernel", "policies", "documents", "transport"},
     "platform": {"kernel", "transport", "gateway"},
 }
-PURE = {"kernel", "policies"}
-PURE_LIBRARIES = {"expression", "automat"}
-# Names on the users' platform that only its folder may know.
-PLATFORM_WORDS = (
+PURE_PACKAGES = {"kernel", "policies"}
+PURE_PACKAGE_LIBRARIES = {"expression", "automat"}
+# Headers, paths and fields of the platform's API. Only the platform package may
+# contain them, so that support for another platform changes no other package.
+PLATFORM_NAMES = (
     *("x-attempt-id", "x-expected-instance", "x-remaining-milliseconds"),
     *("x-response-signature", "x-not-executed", "x-server-load", "x-affinity-key"),
     *("x-cold-milliseconds", "x-instance-id", "api/objects", "api/resolution"),
     *("api/readiness", "path_prefix", "traffic_split", "cold_remaining"),
     *("sticky_sessions", "home_regions", "resource_kind", "max_attempts"),
 )
-FORBIDDEN = {
+CONCURRENCY_MODULES = {
     "asyncio",
     "concurrent",
     "multiprocessing",
@@ -47,7 +48,7 @@
 
 
 def imported_modules(package: str) -> Iterator[tuple[Path, str]]:
-    for path in sorted((FOLDERS[package] / "src").rglob("*.py")):
+    for path in sorted((PACKAGE_FOLDERS[package] / "src").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Import):
                 yield from ((path, alias.name) for alias in node.names)
@@ -55,56 +56,58 @@
                 yield path, node.module or ""
 
 
-@pytest.mark.parametrize("package", sorted(OWN))
+@pytest.mark.parametrize("package", sorted(ALLOWED_IMPORTS))
 def test_package_imports_only_lower_packages(package: str) -> None:
-    allowed = {f"sycamorenotch_{name}" for name in OWN[package] | {package}}
-    wrong = [
+    allowed = {f"sycamorenotch_{name}" for name in ALLOWED_IMPORTS[package] | {package}}
+    violations = [
         f"{path.name}: {module}"
         for path, module in imported_modules(package)
         if module.startswith("sycamorenotch_") and module.split(".")[0] not in allowed
     ]
-    assert wrong == []
+    assert violations == []
 
 
-@pytest.mark.parametrize("package", sorted(PURE))
+@pytest.mark.parametrize("package", sorted(PURE_PACKAGES))
 def test_package_imports_no_input_or_output_when_pure(package: str) -> None:
-    allowed = sys.stdlib_module_names | PURE_LIBRARIES
+    allowed = sys.stdlib_module_names | PURE_PACKAGE_LIBRARIES
     codecs = {"json", "pickle", "marshal", "configparser", "socket", "selectors"}
-    wrong = [
+    violations = [
         f"{path.name}: {module}"
         for path, module in imported_modules(package)
         if not module.startswith("sycamorenotch_")
         and (module.split(".")[0] not in allowed or module.split(".")[0] in codecs)
     ]
-    assert wrong == []
+    assert violations == []
 
 
 def test_kernel_imports_no_plugin_module() -> None:
-    wrong = [m for _, m in imported_modules("kernel") if m.endswith(".plugins")]
-    assert wrong == []
+    violations = [m for _, m in imported_modules("kernel") if m.endswith(".plugins")]
+    assert violations == []
 
 
-@pytest.mark.parametrize("package", sorted(FOLDERS))
+@pytest.mark.parametrize("package", sorted(PACKAGE_FOLDERS))
 def test_package_imports_no_thread_process_or_second_loop(package: str) -> None:
-    wrong = [
+    violations = [
         f"{path.name}: {module}"
         for path, module in imported_modules(package)
-        if module.split(".")[0] in FORBIDDEN or module == "twisted.internet.threads"
+        if module.split(".")[0] in CONCURRENCY_MODULES
+        or module == "twisted.internet.threads"
     ]
-    assert wrong == []
+    assert violations == []
 
 
-@pytest.mark.parametrize("package", sorted(set(FOLDERS) - {"platform"}))
-def test_package_knows_no_name_of_the_platform(package: str) -> None:
-    wrong = [
-        f"{path.name}: {word}"
-        for path in sorted((FOLDERS[package] / "src").rglob("*.py"))
-        for word in PLATFORM_WORDS
-        if word in path.read_text().lower()
+@pytest.mark.parametrize("package", sorted(set(PACKAGE_FOLDERS) - {"platform"}))
+def test_package_contains_no_name_of_the_platform(package: str) -> None:
+    violations = [
+        f"{path.name}: {platform_name}"
+        for path in sorted((PACKAGE_FOLDERS[package] / "src").rglob("*.py"))
+        for platform_name in PLATFORM_NAMES
+        if platform_name in path.read_text().lower()
     ]
-    assert wrong == []
+    assert violations == []
 
 
-def test_platform_is_no_regular_package_at_the_root() -> None:
-    # It would shadow the standard library's module of the same name.
+def test_platform_folder_is_not_a_regular_package() -> None:
+    # A package named "platform" at the root would shadow the standard library's
+    # module.
     assert not (ROOT / "platform" / "__init__.py").exists()
--- a/testing/conftest.py
+++ b/testing/conftest.py
@@ -16,7 +16,7 @@
 from sycamorenotch_kernel import load_plugins
 from sycamorenotch_transport import install_literal_resolver
 
-TEST_LIMIT_S = 60.0
+TEST_TIMEOUT_S = 60.0
 
 settings.register_profile("ci", derandomize=True, deadline=None, database=None)
 settings.load_profile(os.environ.get("HYPOTHESIS_PROFILE", "ci"))
@@ -37,13 +37,14 @@
 def _run(coroutine: Coroutine[Any, Any, Any]) -> Any:
     results: list[Any] = []
 
-    def done(result: Any) -> None:
+    def record_result(result: Any) -> None:
         results.append(result)
 
     deferred = Deferred.fromCoroutine(coroutine)
-    deferred.addTimeout(TEST_LIMIT_S, reactor)
-    deferred.addBoth(done)
-    # The reactor cannot be started twice, so that it is turned by hand.
+    deferred.addTimeout(TEST_TIMEOUT_S, reactor)
+    deferred.addBoth(record_result)
+    # The reactor cannot be restarted after it stops, so that its iterations are
+    # run here instead.
     if not reactor.running:
         reactor.startRunning(installSignalHandlers=False)
     while not results:
--- a/testing/docs/test_catalogues.py
+++ b/testing/docs/test_catalogues.py
@@ -1,4 +1,4 @@
-"""Tests that the pages in the docs say what the code does."""
+"""Tests that the documentation agrees with the code."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 ROOT = Path(__file__).parents[2]
 DOCS = ROOT / "docs"
-ADVICE = "the page is out of date; run 'make docs' and commit the result"
-SHOWN = re.compile(r"sycamorenotch ([a-z]+)")
+OUTDATED_PAGE = "the page is out of date; run 'make docs' and commit the result"
+COMMAND_PATTERN = re.compile(r"sycamorenotch ([a-z]+)")
 
 
 def test_event_catalogue_equals_code() -> None:
-    assert (DOCS / "EVENTS.md").read_text() == events_page(), ADVICE
+    assert (DOCS / "EVENTS.md").read_text() == events_page(), OUTDATED_PAGE
 
 
 def test_error_table_equals_code() -> None:
-    assert (DOCS / "ERRORS.md").read_text() == errors_page(), ADVICE
+    assert (DOCS / "ERRORS.md").read_text() == errors_page(), OUTDATED_PAGE
 
 
 def test_every_error_kind_has_an_answer() -> None:
@@ -45,9 +45,9 @@
 
 
 @pytest.mark.parametrize("page", ["README.md", "docs/OPERATIONS.md"])
-def test_shown_command_exists(page: str) -> None:
+def test_documented_command_exists(page: str) -> None:
     blocks = re.findall(r"^(?:    |\$ ).*", (ROOT / page).read_text(), re.M)
-    shown = {name for block in blocks for name in SHOWN.findall(block)}
+    shown = {name for block in blocks for name in COMMAND_PATTERN.findall(block)}
     assert shown
     assert shown <= {entry.name for entry in commands}
 
@@ -55,10 +55,12 @@
 @pytest.mark.parametrize(
     "number", re.findall(r"^### (\d{4}) ", (DOCS / "OPERATIONS.md").read_text(), re.M)
 )
-def test_alert_with_advice_is_a_known_event(number: str) -> None:
+def test_documented_alert_is_a_known_event(number: str) -> None:
     assert number in events
 
 
 @pytest.mark.parametrize("folder", INDEXED_FOLDERS)
-def test_index_links_every_page_on_a_single_matter(folder: str) -> None:
-    assert (DOCS / f"{folder.upper()}.md").read_text() == linked_page(folder), ADVICE
+def test_index_links_every_page_of_folder(folder: str) -> None:
+    assert (DOCS / f"{folder.upper()}.md").read_text() == linked_page(folder), (
+        OUTDATED_PAGE
+    )
--- a/testing/docs/test_first_session.py
+++ b/testing/docs/test_first_session.py
@@ -1,4 +1,4 @@
-"""Runs the commands that the README shows, in their order."""
+"""Test that the commands in the README succeed in the order shown."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 import pytest
 
 ROOT = Path(__file__).parents[2]
-LIMIT_S = 60
-# A line of curl is run by the demonstration; an identifier is made anew each time.
-ELSEWHERE = ("curl", "export", "sycamorenotch explain")
+COMMAND_TIMEOUT_S = 60
+# The demonstration runs the curl commands itself, and "explain" needs a decision
+# identifier, which differs in every run.
+SKIPPED_PREFIXES = ("curl", "export", "sycamorenotch explain")
 
 
-def shown_commands() -> list[str]:
+def readme_commands() -> list[str]:
     found = re.findall(r"^    \$ (.*)$", (ROOT / "README.md").read_text(), re.M)
-    return [line for line in found if not line.startswith(ELSEWHERE)]
+    return [line for line in found if not line.startswith(SKIPPED_PREFIXES)]
 
 
 @pytest.fixture
@@ -31,21 +32,21 @@
     process.stdout.readline()
     yield tmp_path
     process.send_signal(signal.SIGTERM)
-    process.communicate(timeout=LIMIT_S)
+    process.communicate(timeout=COMMAND_TIMEOUT_S)
 
 
 def test_commands_of_readme_succeed_in_their_order(directory: Path) -> None:
     assert shutil.which("bash")
     environment = {"PATH": f"{Path(sys.executable).parent}:/usr/bin:/bin"}
-    commands = shown_commands()
+    commands = readme_commands()
     assert len(commands) >= 8
     for line in commands:
-        done = subprocess.run(
+        completed = subprocess.run(
             ["bash", "-c", line],
             cwd=directory,
             env=environment,
             capture_output=True,
             text=True,
-            timeout=LIMIT_S,
+            timeout=COMMAND_TIMEOUT_S,
         )
-        assert done.returncode == 0, (line, done.stderr)
+        assert completed.returncode == 0, (line, completed.stderr)
--- a/testing/documents/test_environment.py
+++ b/testing/documents/test_environment.py
@@ -1,4 +1,4 @@
-"""Tests of the environment document."""
+"""Tests of parsing the environment document."""
 
 from __future__ import annotations
 
--- a/testing/documents/test_fuzz.py
+++ b/testing/documents/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Randomised tests of the two kinds of INI file."""
+"""Property-based tests of parsing environment documents and settings."""
 
 from __future__ import annotations
 
--- a/testing/kernel/test_registry.py
+++ b/testing/kernel/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of registries."""
+"""Tests of the registry class."""
 
 from __future__ import annotations
 
