--- a/packages/daemon/src/sycamorenotch_daemon/_calls.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_calls.py
@@ -23,7 +23,7 @@
 from sycamorenotch_kernel import Proceed
 from sycamorenotch_kernel import call_stages
 from sycamorenotch_kernel import components
-from sycamorenotch_kernel import ordered
+from sycamorenotch_kernel import sort_by_dependencies
 
 CallObserver = Callable[[Call, CallResult, timedelta], None]
 
@@ -39,7 +39,7 @@
         self._node = node
         self.in_flight = 0
         self._observers: list[CallObserver] = []
-        stages = [stage(node) for stage in ordered(call_stages)]
+        stages = [stage(node) for stage in sort_by_dependencies(call_stages)]
         self._first = reduce(_chain, reversed(stages), _unanswered)
         node.provide(CallPath, self)
 
--- a/packages/daemon/src/sycamorenotch_daemon/_daemon.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_daemon.py
@@ -10,7 +10,7 @@
 from sycamorenotch_daemon._node import Component
 from sycamorenotch_daemon._node import Node
 from sycamorenotch_kernel import components
-from sycamorenotch_kernel import ordered
+from sycamorenotch_kernel import sort_by_dependencies
 
 
 @final
@@ -23,7 +23,7 @@
     def __init__(self, node: Node) -> None:
         self.node = node
         self._components: tuple[Component, ...] = tuple(
-            factory(node) for factory in ordered(components)
+            factory(node) for factory in sort_by_dependencies(components)
         )
 
     async def start(self) -> None:
--- a/packages/gateway/src/sycamorenotch_gateway/_gateway.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_gateway.py
@@ -10,7 +10,7 @@
 from sycamorenotch_gateway._node import GatewayComponent
 from sycamorenotch_gateway._node import GatewayNode
 from sycamorenotch_kernel import gateway_components
-from sycamorenotch_kernel import ordered
+from sycamorenotch_kernel import sort_by_dependencies
 
 
 @final
@@ -23,7 +23,7 @@
     def __init__(self, node: GatewayNode) -> None:
         self.node = node
         self._components: tuple[GatewayComponent, ...] = tuple(
-            factory(node) for factory in ordered(gateway_components)
+            factory(node) for factory in sort_by_dependencies(gateway_components)
         )
 
     @property
--- a/packages/kernel/src/sycamorenotch_kernel/__init__.py
+++ b/packages/kernel/src/sycamorenotch_kernel/__init__.py
@@ -92,7 +92,7 @@
 from sycamorenotch_kernel._messages import Piece
 from sycamorenotch_kernel._messages import Rumour
 from sycamorenotch_kernel._messages import message
-from sycamorenotch_kernel._ordering import ordered
+from sycamorenotch_kernel._ordering import sort_by_dependencies
 from sycamorenotch_kernel._plan import Grant
 from sycamorenotch_kernel._plan import OutstandingGrant
 from sycamorenotch_kernel._plan import Plan
@@ -276,10 +276,10 @@
     "message_types",
     "object_feeds",
     "operator_endpoints",
-    "ordered",
     "raised_alarms",
     "reports",
     "retry_rules",
+    "sort_by_dependencies",
     "steering_policies",
     "store_adapters",
     "upstream_choices",
--- a/packages/kernel/src/sycamorenotch_kernel/_ordering.py
+++ b/packages/kernel/src/sycamorenotch_kernel/_ordering.py
@@ -11,7 +11,7 @@
 T = TypeVar("T")
 
 
-def ordered(registry: Registry[Any]) -> tuple[Any, ...]:
+def sort_by_dependencies(registry: Registry[Any]) -> tuple[Any, ...]:
     """Return the registered values in topological order.
 
     :param registry: registry whose values name their predecessors in ``after``;
