--- a/packages/daemon/src/sycamorenotch_daemon/_calls.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_calls.py
@@ -76,7 +76,7 @@
             failure = result.error
             ran = failure.stated_ran.value
             outcome = f"refused as {failure.kind.value}, ran: {ran}"
-            call.note(f"{failure.answer.title}: {failure.detail}.")
+            call.add_reason(f"{failure.answer.title}: {failure.detail}.")
             self._node.sink.emit(
                 CallRefused(
                     call.id, route, rank, failure.kind.value, ran, failure.detail
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
@@ -128,7 +128,7 @@
             refusal = Failure(ErrorKind.INVARIANT, detail, Ran.NO)
             return DispatchEnded(Error(refusal))
         attempt = protocol.request.attempt
-        call.note("The call holds the claim for its key.", attempt=attempt)
+        call.add_reason("The call holds the claim for its key.", attempt=attempt)
         self._node.sink.emit(ClaimHeld(call.id, attempt))
         return DispatchEnded(await proceed(call))
 
@@ -162,7 +162,7 @@
 
     def _report_answer(self, call: Call, result: CallResult) -> None:
         outcome = "recorded answer" if result.is_ok() else result.error.kind.value
-        call.note(f"The claim for the key decided the answer: {outcome}.")
+        call.add_reason(f"The claim for the key decided the answer: {outcome}.")
         self._node.sink.emit(ClaimAnswered(call.id, outcome))
 
     def _settle_interrupted(self, place: ClaimObject, protocol: ClaimProtocol) -> None:
--- a/packages/daemon/src/sycamorenotch_daemon/_dispatch.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_dispatch.py
@@ -65,7 +65,7 @@
     ) -> CallResult:
         worker, started = choice.worker, self._node.clock.monotonic()
         call.tried.append(worker.name)
-        call.note(choice.reason, worker=worker.name)
+        call.add_reason(choice.reason, worker=worker.name)
         # The outcome stays the worst one if an exception leaves the client.
         outcome = Outcome.FAILED
         try:
--- a/packages/daemon/src/sycamorenotch_daemon/_quarantine_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_quarantine_stage.py
@@ -58,4 +58,4 @@
         if self._quarantine.remaining(signature, now) is not None:
             last = call.tried[-1] if call.tried else ""
             self._node.sink.emit(QuarantineEntered(call.id, signature, last))
-            call.note("The request was put into quarantine.", signature=signature)
+            call.add_reason("The request was put into quarantine.", signature=signature)
--- a/packages/daemon/src/sycamorenotch_daemon/_retry_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_retry_stage.py
@@ -74,10 +74,10 @@
         now = self._node.clock.monotonic()
         decision = self._decide_unless_quarantined(call, rule, failure, number, now)
         if isinstance(decision, GiveUp):
-            call.note(f"No retry followed, because {decision.reason}.")
+            call.add_reason(f"No retry followed, because {decision.reason}.")
             event = RetryRefused(call.id, number, failure.kind.value, decision.reason)
         else:
-            call.note(f"Attempt {number} failed: {failure.detail}.")
+            call.add_reason(f"Attempt {number} failed: {failure.detail}.")
             delay_s = decision.delay.total_seconds()
             event = RetryScheduled(call.id, number, failure.kind.value, delay_s)
         self._node.sink.emit(event)
--- a/packages/kernel/src/sycamorenotch_kernel/_calls.py
+++ b/packages/kernel/src/sycamorenotch_kernel/_calls.py
@@ -64,7 +64,7 @@
         """Rank of the route."""
         return self.route.rank
 
-    def note(self, reason: str, **facts: object) -> None:
+    def add_reason(self, reason: str, **facts: object) -> None:
         """Add a reason and its inputs to the decision record of the call."""
         self.reasons.append(reason)
         self.facts.extend(Fact(name, str(value)) for name, value in facts.items())
