--- a/packages/kernel/src/sycamorenotch_kernel/__init__.py
+++ b/packages/kernel/src/sycamorenotch_kernel/__init__.py
@@ -40,7 +40,7 @@
 from sycamorenotch_kernel._environment import ShiftPolicy
 from sycamorenotch_kernel._environment import Worker
 from sycamorenotch_kernel._errors import ANSWERS
-from sycamorenotch_kernel._errors import Answer
+from sycamorenotch_kernel._errors import ErrorAnswer
 from sycamorenotch_kernel._errors import ErrorKind
 from sycamorenotch_kernel._errors import Failure
 from sycamorenotch_kernel._errors import Ran
@@ -155,7 +155,6 @@
     "REGISTRIES",
     "UNKNOWN_OUTCOME_STATUS",
     "WINDOW_LENGTHS",
-    "Answer",
     "Attempt",
     "AttemptId",
     "Batch",
@@ -184,6 +183,7 @@
     "Drains",
     "DuplicateNameError",
     "Environment",
+    "ErrorAnswer",
     "ErrorKind",
     "Event",
     "EventList",
--- a/packages/kernel/src/sycamorenotch_kernel/_errors.py
+++ b/packages/kernel/src/sycamorenotch_kernel/_errors.py
@@ -59,7 +59,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ErrorAnswer:
     """The HTTP answer of an error kind.
 
     :param status: HTTP status code.
@@ -75,68 +75,76 @@
     retryable: bool = False
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(400, Ran.NO, "The request is malformed"),
-    ErrorKind.BAD_IDEMPOTENCY_KEY: Answer(
+ANSWERS: dict[ErrorKind, ErrorAnswer] = {
+    ErrorKind.BAD_REQUEST: ErrorAnswer(400, Ran.NO, "The request is malformed"),
+    ErrorKind.BAD_IDEMPOTENCY_KEY: ErrorAnswer(
         400, Ran.NO, "The Idempotency-Key header is missing or malformed"
     ),
-    ErrorKind.BAD_TIMEOUT: Answer(
+    ErrorKind.BAD_TIMEOUT: ErrorAnswer(
         400, Ran.NO, "The Request-Timeout header is malformed"
     ),
-    ErrorKind.HEADERS_TOO_LARGE: Answer(431, Ran.NO, "The headers are too large"),
-    ErrorKind.BODY_TOO_LARGE: Answer(413, Ran.NO, "The body is too large"),
-    ErrorKind.SLOW_SENDER: Answer(
+    ErrorKind.HEADERS_TOO_LARGE: ErrorAnswer(431, Ran.NO, "The headers are too large"),
+    ErrorKind.BODY_TOO_LARGE: ErrorAnswer(413, Ran.NO, "The body is too large"),
+    ErrorKind.SLOW_SENDER: ErrorAnswer(
         408, Ran.NO, "The request was not received in time", True
     ),
-    ErrorKind.UNAUTHORIZED: Answer(401, Ran.NO, "A valid bearer token is required"),
-    ErrorKind.UNKNOWN_SERVICE: Answer(404, Ran.NO, "The service is not known"),
-    ErrorKind.UNKNOWN_ROUTE: Answer(404, Ran.NO, "The service has no such route"),
-    ErrorKind.METHOD_NOT_ALLOWED: Answer(
+    ErrorKind.UNAUTHORIZED: ErrorAnswer(
+        401, Ran.NO, "A valid bearer token is required"
+    ),
+    ErrorKind.UNKNOWN_SERVICE: ErrorAnswer(404, Ran.NO, "The service is not known"),
+    ErrorKind.UNKNOWN_ROUTE: ErrorAnswer(404, Ran.NO, "The service has no such route"),
+    ErrorKind.METHOD_NOT_ALLOWED: ErrorAnswer(
         405, Ran.NO, "The route does not accept this method"
     ),
-    ErrorKind.NOT_FOUND: Answer(404, Ran.NO, "There is no such resource"),
-    ErrorKind.NOT_READY: Answer(
+    ErrorKind.NOT_FOUND: ErrorAnswer(404, Ran.NO, "There is no such resource"),
+    ErrorKind.NOT_READY: ErrorAnswer(
         503, Ran.NO, "The instance has no configuration in force", True
     ),
-    ErrorKind.STOPPING: Answer(503, Ran.NO, "The instance is stopping", True),
-    ErrorKind.OVERLOADED: Answer(
+    ErrorKind.STOPPING: ErrorAnswer(503, Ran.NO, "The instance is stopping", True),
+    ErrorKind.OVERLOADED: ErrorAnswer(
         503, Ran.NO, "There is no capacity left for this request", True
     ),
-    ErrorKind.DEADLINE_HOPELESS: Answer(
+    ErrorKind.DEADLINE_HOPELESS: ErrorAnswer(
         503, Ran.NO, "The request cannot be served before its deadline", True
     ),
-    ErrorKind.SHIFT_CAPPED: Answer(
+    ErrorKind.SHIFT_CAPPED: ErrorAnswer(
         503, Ran.NO, "Moving this request would exceed the shift cap", True
     ),
-    ErrorKind.NO_UPSTREAM: Answer(503, Ran.NO, "No upstream is available", True),
-    ErrorKind.QUARANTINED: Answer(
+    ErrorKind.NO_UPSTREAM: ErrorAnswer(503, Ran.NO, "No upstream is available", True),
+    ErrorKind.QUARANTINED: ErrorAnswer(
         422, Ran.NO, "The request is quarantined because it crashed upstreams"
     ),
-    ErrorKind.STORE_UNAVAILABLE: Answer(
+    ErrorKind.STORE_UNAVAILABLE: ErrorAnswer(
         503, Ran.NO, "The store cannot record the claim", True
     ),
-    ErrorKind.CLAIM_HELD: Answer(
+    ErrorKind.CLAIM_HELD: ErrorAnswer(
         409, Ran.UNKNOWN, "Another attempt holds the claim for this key", True
     ),
-    ErrorKind.KEY_REUSED: Answer(
+    ErrorKind.KEY_REUSED: ErrorAnswer(
         422, Ran.NO, "The Idempotency-Key was used for another request"
     ),
-    ErrorKind.UPSTREAM_SHED: Answer(
+    ErrorKind.UPSTREAM_SHED: ErrorAnswer(
         503, Ran.NO, "The upstream refused the request without running it", True
     ),
-    ErrorKind.UPSTREAM_FAILED: Answer(
+    ErrorKind.UPSTREAM_FAILED: ErrorAnswer(
         502, Ran.UNKNOWN, "The upstream failed before its answer was complete"
     ),
-    ErrorKind.DEADLINE_PASSED: Answer(
+    ErrorKind.DEADLINE_PASSED: ErrorAnswer(
         504, Ran.UNKNOWN, "The deadline passed before the answer was complete"
     ),
-    ErrorKind.CANCELLED: Answer(499, Ran.UNKNOWN, "The caller cancelled the request"),
-    ErrorKind.CONFLICT: Answer(409, Ran.NO, "The object was changed by another writer"),
-    ErrorKind.INVALID_DOCUMENT: Answer(422, Ran.NO, "The document is not valid"),
-    ErrorKind.INVARIANT: Answer(
+    ErrorKind.CANCELLED: ErrorAnswer(
+        499, Ran.UNKNOWN, "The caller cancelled the request"
+    ),
+    ErrorKind.CONFLICT: ErrorAnswer(
+        409, Ran.NO, "The object was changed by another writer"
+    ),
+    ErrorKind.INVALID_DOCUMENT: ErrorAnswer(422, Ran.NO, "The document is not valid"),
+    ErrorKind.INVARIANT: ErrorAnswer(
         500, Ran.NO, "The decision was refused because it would violate an invariant"
     ),
-    ErrorKind.INTERNAL: Answer(500, Ran.UNKNOWN, "The instance failed unexpectedly"),
+    ErrorKind.INTERNAL: ErrorAnswer(
+        500, Ran.UNKNOWN, "The instance failed unexpectedly"
+    ),
 }
 
 for _kind, _answer in ANSWERS.items():
@@ -160,7 +168,7 @@
     retry_after: timedelta | None = None
 
     @property
-    def answer(self) -> Answer:
+    def answer(self) -> ErrorAnswer:
         """Entry of the answer table for this kind."""
         return ANSWERS[self.kind]
 
