--- a/packages/daemon/src/sycamorenotch_daemon/_http_store.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_http_store.py
@@ -24,7 +24,6 @@
 from twisted.web.client import Agent
 from twisted.web.client import HTTPConnectionPool
 
-from sycamorenotch_kernel import Changes
 from sycamorenotch_kernel import InstanceId
 from sycamorenotch_kernel import InstanceState
 from sycamorenotch_kernel import ListedInstance
@@ -32,6 +31,7 @@
 from sycamorenotch_kernel import StoreError
 from sycamorenotch_kernel import StoreFault
 from sycamorenotch_kernel import Version
+from sycamorenotch_kernel import WatchResult
 from sycamorenotch_kernel import store_adapters
 from sycamorenotch_transport import BytesProducer
 
@@ -141,7 +141,7 @@
 
     async def watch(
         self, kind: str, after: Version, timeout: timedelta
-    ) -> Result[Changes, StoreError]:
+    ) -> Result[WatchResult, StoreError]:
         """Wait for changes later than a version, or for the timeout."""
         path = f"/v1/watch/{kind}?after={after}&timeout_s={timeout.total_seconds()}"
         return await self._call("GET", path, timeout + WATCH_MARGIN, _changes)
@@ -204,10 +204,10 @@
     return tuple(item.stored() for item in model.objects)
 
 
-def _changes(content: bytes) -> Changes:
+def _changes(content: bytes) -> WatchResult:
     model = _ObjectsModel.model_validate_json(content)
     objects = tuple(item.stored() for item in model.objects)
-    return Changes(objects, Version(model.version))
+    return WatchResult(objects, Version(model.version))
 
 
 def _instances(content: bytes) -> tuple[ListedInstance, ...]:
--- a/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
@@ -25,7 +25,6 @@
 from sycamorenotch_daemon._store_events import StoreBreakerClosed
 from sycamorenotch_daemon._store_events import StoreBreakerOpened
 from sycamorenotch_daemon._store_events import StoreBudgetExceeded
-from sycamorenotch_kernel import Changes
 from sycamorenotch_kernel import Clock
 from sycamorenotch_kernel import Directory
 from sycamorenotch_kernel import EventSink
@@ -35,6 +34,7 @@
 from sycamorenotch_kernel import StoreError
 from sycamorenotch_kernel import StoreFault
 from sycamorenotch_kernel import Version
+from sycamorenotch_kernel import WatchResult
 
 T = TypeVar("T")
 
@@ -177,7 +177,7 @@
 
     async def watch(
         self, kind: str, after: Version, timeout: timedelta
-    ) -> Result[Changes, StoreError]:
+    ) -> Result[WatchResult, StoreError]:
         """Wait for changes later than a version, or for the timeout."""
         return await self._call(
             "watch",
--- a/packages/kernel/src/sycamorenotch_kernel/__init__.py
+++ b/packages/kernel/src/sycamorenotch_kernel/__init__.py
@@ -105,7 +105,6 @@
 from sycamorenotch_kernel._plugins import load_plugins
 from sycamorenotch_kernel._ports import Attempt
 from sycamorenotch_kernel._ports import Cancellable
-from sycamorenotch_kernel._ports import Changes
 from sycamorenotch_kernel._ports import Directory
 from sycamorenotch_kernel._ports import InstanceId
 from sycamorenotch_kernel._ports import InstanceState
@@ -116,6 +115,7 @@
 from sycamorenotch_kernel._ports import StoreError
 from sycamorenotch_kernel._ports import StoreFault
 from sycamorenotch_kernel._ports import Version
+from sycamorenotch_kernel._ports import WatchResult
 from sycamorenotch_kernel._registries import REGISTRIES
 from sycamorenotch_kernel._registries import admission_disciplines
 from sycamorenotch_kernel._registries import call_stages
@@ -168,7 +168,6 @@
     "CallResult",
     "CallStage",
     "Cancellable",
-    "Changes",
     "ClientLimits",
     "Clock",
     "ConfigurationPush",
@@ -253,6 +252,7 @@
     "UnknownNameError",
     "Verdict",
     "Version",
+    "WatchResult",
     "WeightedService",
     "Worker",
     "WorkerEntry",
--- a/packages/kernel/src/sycamorenotch_kernel/_ports.py
+++ b/packages/kernel/src/sycamorenotch_kernel/_ports.py
@@ -66,7 +66,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Changes:
+class WatchResult:
     """The result of a watch.
 
     :param objects: changed objects in the order of their versions.
@@ -126,7 +126,7 @@
 
     def watch(
         self, kind: str, after: Version, timeout: timedelta
-    ) -> Awaitable[Result[Changes, StoreError]]:
+    ) -> Awaitable[Result[WatchResult, StoreError]]:
         """Wait for changes after a version; on timeout the result is empty."""
         ...
 
--- a/packages/standins/src/sycamorenotch_standins/_memory.py
+++ b/packages/standins/src/sycamorenotch_standins/_memory.py
@@ -12,12 +12,12 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.interfaces import IReactorTime
 
-from sycamorenotch_kernel import Changes
 from sycamorenotch_kernel import ListedInstance
 from sycamorenotch_kernel import StoredObject
 from sycamorenotch_kernel import StoreError
 from sycamorenotch_kernel import StoreFault
 from sycamorenotch_kernel import Version
+from sycamorenotch_kernel import WatchResult
 from sycamorenotch_kernel import store_adapters
 from sycamorenotch_standins._faults import FaultSwitch
 from sycamorenotch_standins._objects import ObjectTable
@@ -86,7 +86,7 @@
 
     async def watch(
         self, kind: str, after: Version, timeout: timedelta
-    ) -> Result[Changes, StoreError]:
+    ) -> Result[WatchResult, StoreError]:
         """Wait for changes later than a version, or for the timeout."""
         if self.fault.strike() != "none":
             return _unavailable()
--- a/packages/standins/src/sycamorenotch_standins/_objects.py
+++ b/packages/standins/src/sycamorenotch_standins/_objects.py
@@ -9,11 +9,11 @@
 from expression import Ok
 from expression import Result
 
-from sycamorenotch_kernel import Changes
 from sycamorenotch_kernel import StoredObject
 from sycamorenotch_kernel import StoreError
 from sycamorenotch_kernel import StoreFault
 from sycamorenotch_kernel import Version
+from sycamorenotch_kernel import WatchResult
 
 MAXIMUM_VALUE_BYTES = 2**20
 
@@ -82,11 +82,11 @@
         del self._objects[kind, name]
         return Ok(None)
 
-    def changes(self, kind: str, after: Version) -> Changes:
+    def changes(self, kind: str, after: Version) -> WatchResult:
         """Return the objects written after a version."""
         changed = (o for o in self.list(kind) if o.version > after)
         ordered = sorted(changed, key=lambda stored: stored.version)
-        return Changes(tuple(ordered), self.version)
+        return WatchResult(tuple(ordered), self.version)
 
     def on_change(self, kind: str, waiter: Waiter) -> Callable[[], None]:
         """Call a function once at the next write of a kind.
