--- a/packages/kernel/src/sycamorenotch_kernel/__init__.py
+++ b/packages/kernel/src/sycamorenotch_kernel/__init__.py
@@ -39,7 +39,7 @@
 from sycamorenotch_kernel._environment import Service
 from sycamorenotch_kernel._environment import ShiftPolicy
 from sycamorenotch_kernel._environment import Worker
-from sycamorenotch_kernel._errors import ERROR_ANSWERS
+from sycamorenotch_kernel._errors import ANSWERS
 from sycamorenotch_kernel._errors import ErrorAnswer
 from sycamorenotch_kernel._errors import ErrorKind
 from sycamorenotch_kernel._errors import Failure
@@ -146,9 +146,9 @@
 __all__ = [
     "ALARM_THRESHOLDS",
     "ALARM_WINDOWS",
+    "ANSWERS",
     "CALLER_ERROR_STATUSES",
     "DEFAULT_RECORD_LIMIT",
-    "ERROR_ANSWERS",
     "IDENTIFIER_BITS",
     "NOT_RUN_STATUS",
     "PLUGIN_GROUP",
--- a/packages/kernel/src/sycamorenotch_kernel/_errors.py
+++ b/packages/kernel/src/sycamorenotch_kernel/_errors.py
@@ -75,7 +75,7 @@
     retryable: bool = False
 
 
-ERROR_ANSWERS: dict[ErrorKind, ErrorAnswer] = {
+ANSWERS: dict[ErrorKind, ErrorAnswer] = {
     ErrorKind.BAD_REQUEST: ErrorAnswer(400, Ran.NO, "The request is malformed"),
     ErrorKind.BAD_IDEMPOTENCY_KEY: ErrorAnswer(
         400, Ran.NO, "The Idempotency-Key header is missing or malformed"
@@ -147,7 +147,7 @@
     ),
 }
 
-for _kind, _answer in ERROR_ANSWERS.items():
+for _kind, _answer in ANSWERS.items():
     error_answers.add(_kind.value, _answer, __name__)
 
 
@@ -170,7 +170,7 @@
     @property
     def answer(self) -> ErrorAnswer:
         """Entry of the answer table for this kind."""
-        return ERROR_ANSWERS[self.kind]
+        return ANSWERS[self.kind]
 
     @property
     def stated_ran(self) -> Ran:
--- a/packages/kernel/src/sycamorenotch_kernel/_forwarding.py
+++ b/packages/kernel/src/sycamorenotch_kernel/_forwarding.py
@@ -10,7 +10,7 @@
 from typing import final
 
 from sycamorenotch_kernel._calls import Headers
-from sycamorenotch_kernel._errors import ERROR_ANSWERS
+from sycamorenotch_kernel._errors import ANSWERS
 from sycamorenotch_kernel._errors import ErrorKind
 from sycamorenotch_kernel._errors import Ran
 
@@ -286,7 +286,7 @@
     @property
     def status(self) -> int:
         """HTTP status that claims no more about execution than is known."""
-        status = ERROR_ANSWERS[self.kind].status
+        status = ANSWERS[self.kind].status
         if self.ran is Ran.NO:
             return status if status in CALLER_ERROR_STATUSES else NOT_RUN_STATUS
         return UNKNOWN_OUTCOME_STATUS if status == NOT_RUN_STATUS else status
--- a/packages/workbench/src/sycamorenotch_workbench/catalogue.py
+++ b/packages/workbench/src/sycamorenotch_workbench/catalogue.py
@@ -6,7 +6,7 @@
 from inspect import cleandoc
 from pathlib import Path
 
-from sycamorenotch_kernel import ERROR_ANSWERS
+from sycamorenotch_kernel import ANSWERS
 from sycamorenotch_kernel import Event
 from sycamorenotch_kernel import events
 from sycamorenotch_kernel import load_plugins
@@ -55,7 +55,7 @@
             "yes" if answer.retryable else "no",
             answer.title,
         )
-        for kind, answer in ERROR_ANSWERS.items()
+        for kind, answer in ANSWERS.items()
     )
     head = _table(("kind", "status", "ran", "may succeed later", "meaning"))
     return "\n".join([ERRORS_HEAD, *head, *rows, ""])
--- a/testing/docs/test_catalogues.py
+++ b/testing/docs/test_catalogues.py
@@ -8,7 +8,7 @@
 import pytest
 
 from sycamorenotch_cli import ExitCode
-from sycamorenotch_kernel import ERROR_ANSWERS
+from sycamorenotch_kernel import ANSWERS
 from sycamorenotch_kernel import ErrorKind
 from sycamorenotch_kernel import commands
 from sycamorenotch_kernel import events
@@ -32,7 +32,7 @@
 
 
 def test_every_error_kind_has_an_answer() -> None:
-    assert set(ERROR_ANSWERS) == set(ErrorKind)
+    assert set(ANSWERS) == set(ErrorKind)
 
 
 def test_every_event_has_a_meaning() -> None:
