--- a/packages/kernel/src/sycamorenotch_kernel/_forwarding.py
+++ b/packages/kernel/src/sycamorenotch_kernel/_forwarding.py
@@ -63,7 +63,7 @@
     :param attempts: largest number of workers that one request may be sent to.
     :param sticky: whether requests for the same object prefer the same worker,
         which answers faster for objects that it has cached.
-    :param allowed_regions: regions that may serve the route; empty if every region may.
+    :param homes: regions that may serve the route; empty if every region may.
     """
 
     name: str
@@ -76,7 +76,7 @@
     priority: int = 0
     attempts: int = 1
     sticky: bool = False
-    allowed_regions: frozenset[str] = frozenset()
+    homes: frozenset[str] = frozenset()
 
 
 @final
--- a/packages/policies/src/sycamorenotch_policies/_worker_choice.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_choice.py
@@ -107,12 +107,12 @@
         self, wanted: Wanted, views: tuple[WorkerView, ...], now: float
     ) -> Chosen | NoRoom:
         """Choose among the usable workers of the service."""
-        allowed_regions = wanted.route.allowed_regions
+        homes = wanted.route.homes
         allowed = [
             view
             for view in views
             if view.entry.id not in wanted.tried
-            and (not allowed_regions or view.region in allowed_regions)
+            and (not homes or view.region in homes)
             and self._bears_more(view, now)
         ]
         if not allowed:
--- a/testing/platform/test_models.py
+++ b/testing/platform/test_models.py
@@ -118,7 +118,7 @@
     (first,) = found.routes
     assert first.kind is RequestKind.UNSAFE
     assert (first.timeout_s, first.target_latency_s) == (2.0, 1.5)
-    assert first.allowed_regions == {"west"}
+    assert first.homes == {"west"}
     assert found.services["s"].cold_rate == 3.9
     assert found.limits.idle_timeout_s == 9.0
     assert (found.version, found.revision) == (3, 7)
--- a/testing/policies/test_worker_choice.py
+++ b/testing/policies/test_worker_choice.py
@@ -105,7 +105,7 @@
 
 def test_only_homes_when_route_has_homes(book) -> None:
     names = {
-        choose(book, str(key), allowed_regions=frozenset({"east"})).view.entry.id
+        choose(book, str(key), homes=frozenset({"east"})).view.entry.id
         for key in range(50)
     }
     assert all(name.startswith("b") for name in names)
