--- a/packages/kernel/src/sycamorenotch_kernel/_events.py
+++ b/packages/kernel/src/sycamorenotch_kernel/_events.py
@@ -78,7 +78,7 @@
 @final
 @dataclass(slots=True)
 class EventList:
-    """Event sink that keeps events in memory."""
+    """Event sink that keeps events in memory, for recorded runs and tests."""
 
     events: list[Event] = dataclasses.field(default_factory=list)
 
--- a/packages/kernel/src/sycamorenotch_kernel/_forwarding.py
+++ b/packages/kernel/src/sycamorenotch_kernel/_forwarding.py
@@ -16,7 +16,7 @@
 
 # Guarantees that the request has not run and never will.
 NOT_RUN_STATUS = 503
-# The request itself is at fault, so that a retry of it would fail as well.
+# The request itself cannot be served; these statuses are returned as they are.
 CALLER_ERROR_STATUSES = frozenset({400, 404, 405, 408, 413, 431})
 # States nothing about execution: the outcome of the request is unknown.
 UNKNOWN_OUTCOME_STATUS = 502
@@ -25,7 +25,7 @@
 @final
 @unique
 class RequestKind(Enum):
-    """Whether the requests of a route may be repeated, and how large they are."""
+    """Kind of the requests on a route, which decides whether they may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -57,7 +57,7 @@
 
     :param prefix: path prefix, which begins and ends with a slash.
     :param services: services among which the requests are split by weight.
-    :param timeout_s: longest time that a request may take, if it is bounded.
+    :param timeout_s: time limit of a request, if the route has one.
     :param target_latency_s: latency up to which an answer has its full value.
     :param priority: rank among the routes of a service; 0 is the highest.
     :param attempts: largest number of workers that one request may be sent to.
