--- a/packages/transport/src/sycamorenotch_transport/__init__.py
+++ b/packages/transport/src/sycamorenotch_transport/__init__.py
@@ -1,4 +1,4 @@
-"""Twisted listeners, HTTP/1.1 connections and name resolution for the programs."""
+"""Twisted listeners, HTTP/1.1 client and server, and name resolution."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     from sycamorenotch_transport._resolver import LiteralResolver
     from sycamorenotch_transport._resolver import install_literal_resolver
 
-# A process loads only the modules it uses: the parser of the operators' and
-# callers' listeners is not loaded by a gateway, nor the other way round.
+# Modules are imported on first use, so that a gateway does not load the Twisted Web
+# listeners of the daemon, nor a daemon the HTTP/1.1 server of the gateway.
 _MODULES = {
     "Background": "_background",
     "Turn": "_background",
--- a/packages/transport/src/sycamorenotch_transport/_background.py
+++ b/packages/transport/src/sycamorenotch_transport/_background.py
@@ -1,4 +1,4 @@
-"""Runs a component's turns one after another, with a delay between them."""
+"""Periodic work of components on the reactor."""
 
 from __future__ import annotations
 
@@ -15,58 +15,59 @@
 FAILURE_DELAY = timedelta(seconds=5)
 
 Turn = Callable[[], Awaitable[timedelta]]
-TurnReport = Callable[[str, str], None]
+ReportFailure = Callable[[str, str], None]
 
 
 @final
 class Background:
-    """A sequence of turns, of which one runs at a time.
+    """Runs a coroutine function periodically, one call at a time.
 
-    :param turn: does the work and returns the delay before the next turn.
-    :param report: receives the name of a turn that raised, and the error.
-    :param failure_delay: delay after a turn that raised.
+    :param turn: does the work and returns the delay before the next call.
+    :param report: receives the qualified name of a function that raised, and the
+        error.
+    :param failure_delay: delay after a call that raised.
     """
 
     def __init__(
         self,
         reactor: Any,
         turn: Turn,
-        report: TurnReport,
+        report: ReportFailure,
         failure_delay: timedelta = FAILURE_DELAY,
     ) -> None:
         self._reactor = reactor
         self._turn = turn
         self._report = report
         self._failure_delay = failure_delay
-        self._running: Deferred[None] | None = None
-        self._pause: Deferred[None] | None = None
-        self._woken = False
+        self._run_fut: Deferred[None] | None = None
+        self._delay_fut: Deferred[None] | None = None
+        self._wake_requested = False
 
     def start(self, delay: timedelta = timedelta()) -> None:
-        """Start, with the first turn after a delay."""
-        self._running = Deferred.fromCoroutine(self._run(delay))
-        self._running.addErrback(_ignore_cancelled)
+        """Schedule the first call after a delay."""
+        self._run_fut = Deferred.fromCoroutine(self._run(delay))
+        self._run_fut.addErrback(_ignore_cancelled)
 
     def stop(self) -> None:
-        """Cancel the turn or the delay that is running."""
-        running, self._running = self._running, None
-        if running is not None:
-            running.cancel()
+        """Cancel the current call or delay."""
+        run_fut, self._run_fut = self._run_fut, None
+        if run_fut is not None:
+            run_fut.cancel()
 
     def wake(self) -> None:
-        """End the delay, or have the next turn follow the running one."""
-        self._woken = True
-        if self._pause is not None and not self._pause.called:
-            self._pause.callback(None)
+        """End the current delay, or skip the one after the current call."""
+        self._wake_requested = True
+        if self._delay_fut is not None and not self._delay_fut.called:
+            self._delay_fut.callback(None)
 
     async def _run(self, delay: timedelta) -> None:
         while True:
-            if not self._woken:
-                await self._wait(delay)
-            self._woken = False
-            delay = await self._guarded_turn()
+            if not self._wake_requested:
+                await self._sleep(delay)
+            self._wake_requested = False
+            delay = await self._run_turn()
 
-    async def _guarded_turn(self) -> timedelta:
+    async def _run_turn(self) -> timedelta:
         try:
             return await self._turn()
         except CancelledError:
@@ -75,14 +76,14 @@
             self._report(self._turn.__qualname__, f"{type(exc).__name__}: {exc}")
             return self._failure_delay
 
-    async def _wait(self, delay: timedelta) -> None:
-        pause: Deferred[None] = Deferred()
+    async def _sleep(self, delay: timedelta) -> None:
+        delay_fut: Deferred[None] = Deferred()
         timer = self._reactor.callLater(delay.total_seconds(), self.wake)
-        self._pause = pause
+        self._delay_fut = delay_fut
         try:
-            await pause
+            await delay_fut
         finally:
-            self._pause = None
+            self._delay_fut = None
             if timer.active():
                 timer.cancel()
 
--- a/packages/transport/src/sycamorenotch_transport/_bodies.py
+++ b/packages/transport/src/sycamorenotch_transport/_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of HTTP requests that are whole in memory."""
+"""Request bodies that are held in memory."""
 
 from __future__ import annotations
 
@@ -14,9 +14,12 @@
 @implementer(IBodyProducer)
 @final
 class BytesProducer:
-    """Writes a body at once, without the global reactor's cooperator.
+    """Body producer that writes all bytes in one call.
 
-    :param body: the whole body.
+    Unlike Twisted's ``FileBodyProducer`` it needs no cooperator of the global
+    reactor.
+
+    :param body: the complete body.
     """
 
     def __init__(self, body: bytes) -> None:
@@ -24,7 +27,7 @@
         self.length = len(body)
 
     def startProducing(self, consumer: Any) -> Deferred[None]:
-        """Write the whole body."""
+        """Write the complete body."""
         consumer.write(self._body)
         return succeed(None)
 
--- a/packages/transport/src/sycamorenotch_transport/_bounded_http.py
+++ b/packages/transport/src/sycamorenotch_transport/_bounded_http.py
@@ -1,4 +1,4 @@
-"""HTTP requests within bounds of size and time, held in memory only."""
+"""Twisted Web requests with limits on size and receive time."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 from twisted.web.http import HTTPChannel
 from twisted.web.server import Request
 
-LINGER_S = 2.0
+# Time to read and discard input after a rejection; see ``LimitedChannel.reject``.
+LINGERING_CLOSE_S = 2.0
 
 
 @final
 @unique
 class WireProblem(Enum):
-    """Why a request was refused before it was read to its end."""
+    """Why a request was rejected before it was completely received."""
 
     MALFORMED = "malformed"
     HEADERS_TOO_LARGE = "headers too large"
@@ -32,9 +33,9 @@
 @final
 @dataclass(frozen=True, slots=True)
 class WireAnswer:
-    """The answer to a request that was not read to its end.
+    """Response to a request that was rejected while it was being received.
 
-    :param status: status code and phrase.
+    :param status: status code and reason phrase.
     """
 
     status: str
@@ -42,7 +43,7 @@
     body: bytes
 
     def encode(self) -> bytes:
-        """Return the bytes of the whole answer."""
+        """Return the serialised response, with a ``Connection: close`` header."""
         lines = (
             f"HTTP/1.1 {self.status}",
             f"Content-Type: {self.content_type}",
@@ -55,11 +56,11 @@
 @final
 @dataclass(frozen=True, slots=True)
 class RequestBounds:
-    """What one request may cost.
+    """Limits on one request.
 
-    :param header_bytes: request line and headers together.
-    :param body_bytes: the body, decoded.
-    :param receive: time from the first byte to the last.
+    :param header_bytes: maximum size of the request line and headers together.
+    :param body_bytes: maximum size of the body after transfer decoding.
+    :param receive: maximum time from the first byte to the last.
     """
 
     header_bytes: int = 16 * 1024
@@ -67,121 +68,126 @@
     receive: timedelta = timedelta(seconds=15)
 
 
-Refuse = Callable[[WireProblem], WireAnswer]
+BuildRejection = Callable[[WireProblem], WireAnswer]
 
 
-def plain_answer(problem: WireProblem) -> WireAnswer:
-    """Return an answer in plain text."""
+def plain_text_rejection(problem: WireProblem) -> WireAnswer:
+    """Return a 400 response with a plain text body."""
     return WireAnswer("400 Bad Request", "text/plain", problem.value.encode())
 
 
 @final
-class BoundedRequest(Request):
-    """Keeps its body in memory and stops at the bound."""
+class LimitedRequest(Request):
+    """Request whose body is kept in memory, up to the channel's limit."""
 
     def gotLength(self, length: int | None) -> None:
-        """Refuse a stated length beyond the bound."""
+        """Reject a ``Content-Length`` beyond the limit."""
         self.content = BytesIO()
         if length is not None and length > self.channel.bounds.body_bytes:
-            self.channel.refuse(WireProblem.BODY_TOO_LARGE)
+            self.channel.reject(WireProblem.BODY_TOO_LARGE)
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Keep a part of the body within the bound."""
+        """Append a chunk, or reject the request if its body exceeds the limit."""
         if self.content.tell() + len(data) > self.channel.bounds.body_bytes:
-            self.channel.refuse(WireProblem.BODY_TOO_LARGE)
+            self.channel.reject(WireProblem.BODY_TOO_LARGE)
             return
         self.content.write(data)
 
 
 @final
-class BoundedChannel(HTTPChannel):
-    """Connection that refuses requests beyond the bounds with an answer.
+class LimitedChannel(HTTPChannel):
+    """Server connection that answers and closes when a request exceeds a limit.
 
-    :param bounds: what one request may cost.
-    :param answer_for: builds the answer to a refused request.
+    :param bounds: limits on one request.
+    :param build_rejection: builds the response to a rejected request.
     """
 
-    def __init__(self, reactor: Any, bounds: RequestBounds, answer_for: Refuse) -> None:
+    def __init__(
+        self, reactor: Any, bounds: RequestBounds, build_rejection: BuildRejection
+    ) -> None:
         super().__init__()
         self.bounds = bounds
         self.totalHeadersSize = bounds.header_bytes
         self._reactor = reactor
-        self._answer_for = answer_for
-        self._refused = False
-        self._receiving: IDelayedCall | None = None
+        self._build_rejection = build_rejection
+        self._rejected = False
+        self._receive_timer: IDelayedCall | None = None
 
     def dataReceived(self, data: bytes) -> Any:
-        """Start the time limit of a request with its first byte."""
-        if self._refused:
+        """Start the receive timer at the first byte of a request."""
+        if self._rejected:
             return None
-        if self._receiving is None and not self._handlingRequest:
+        if self._receive_timer is None and not self._handlingRequest:
             limit_s = self.bounds.receive.total_seconds()
-            self._receiving = self._reactor.callLater(limit_s, self._on_late)
+            self._receive_timer = self._reactor.callLater(
+                limit_s, self._on_receive_timeout
+            )
         return super().dataReceived(data)
 
     def lineReceived(self, line: bytes) -> Any:
-        """Ignore what follows a refusal."""
-        return None if self._refused else super().lineReceived(line)
+        """Ignore lines after a rejection."""
+        return None if self._rejected else super().lineReceived(line)
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Ignore what follows a refusal."""
-        if not self._refused:
+        """Ignore data after a rejection."""
+        if not self._rejected:
             super().rawDataReceived(data)
 
     def allContentReceived(self) -> None:
-        """Hand over the request unless it was refused."""
+        """Dispatch the request unless it was rejected."""
         self._stop_timer()
-        if not self._refused:
+        if not self._rejected:
             super().allContentReceived()
 
     def lineLengthExceeded(self, line: bytes) -> Any:
-        """Refuse a line that is longer than all headers may be."""
-        self.refuse(WireProblem.HEADERS_TOO_LARGE)
+        """Reject a line that exceeds the limit of all headers together."""
+        self.reject(WireProblem.HEADERS_TOO_LARGE)
         return None
 
     def connectionLost(self, reason: Any) -> None:
-        """Forget the connection."""
+        """Cancel the receive timer."""
         self._stop_timer()
         super().connectionLost(reason)
 
-    def refuse(self, problem: WireProblem) -> None:
-        """Answer the request that is being received and close."""
-        if self._refused:
+    def reject(self, problem: WireProblem) -> None:
+        """Answer the request that is being received and close the connection."""
+        if self._rejected:
             return
-        self._refused = True
+        self._rejected = True
         self._stop_timer()
         self.setTimeout(None)
-        self.transport.write(self._answer_for(problem).encode())
-        # Bytes that were not read when a connection closes make the peer drop
-        # the answer, so that the rest is read and ignored for a while.
+        self.transport.write(self._build_rejection(problem).encode())
+        # Closing a socket with unread input sends a reset, on which the peer may
+        # discard the response. Therefore close the write side only, and discard
+        # input for a while.
         half_close = getattr(self.transport, "loseWriteConnection", None)
         if half_close is None:
             self.loseConnection()
             return
         half_close()
-        self._receiving = self._reactor.callLater(LINGER_S, self._abort)
+        self._receive_timer = self._reactor.callLater(LINGERING_CLOSE_S, self._abort)
 
     def _respondToBadRequestAndDisconnect(self) -> None:
         sized = self._receivedHeaderSize > self.totalHeadersSize
         counted = self._receivedHeaderCount > self.maxHeaders
         too_large = sized or counted
-        self.refuse(
+        self.reject(
             WireProblem.HEADERS_TOO_LARGE if too_large else WireProblem.MALFORMED
         )
 
     def _send100Continue(self) -> None:
-        if not self._refused:
+        if not self._rejected:
             super()._send100Continue()
 
-    def _on_late(self) -> None:
-        self._receiving = None
-        self.refuse(WireProblem.SLOW_SENDER)
+    def _on_receive_timeout(self) -> None:
+        self._receive_timer = None
+        self.reject(WireProblem.SLOW_SENDER)
 
     def _abort(self) -> None:
-        self._receiving = None
+        self._receive_timer = None
         self.transport.abortConnection()
 
     def _stop_timer(self) -> None:
-        if self._receiving is not None and self._receiving.active():
-            self._receiving.cancel()
-        self._receiving = None
+        if self._receive_timer is not None and self._receive_timer.active():
+            self._receive_timer.cancel()
+        self._receive_timer = None
--- a/packages/transport/src/sycamorenotch_transport/_http1_client.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_client.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client that says what became of a request that failed."""
+"""HTTP/1.1 client connection that reports whether a failed request was sent."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 from sycamorenotch_transport._http1_messages import decode_headers
 from sycamorenotch_transport._http1_messages import encode_headers
 from sycamorenotch_transport._http1_messages import header
-from sycamorenotch_transport._sockets import detect_silence
+from sycamorenotch_transport._sockets import configure_socket
 
-HEAD_BYTES = 65_536
-# Longest answer that is held until it is whole.
-ANSWER_BYTES = 33_554_432
-KEEP_ALIVE = re.compile(r"timeout=(\d+)")
-# A server may close at the moment its timeout ends, a round trip away.
+MAX_HEAD_BYTES = 65_536
+# Responses are buffered completely.
+MAX_RESPONSE_BYTES = 33_554_432
+KEEP_ALIVE_TIMEOUT_PATTERN = re.compile(r"timeout=(\d+)")
+# The server's idle timeout may end while a request is in flight to it.
 KEEP_ALIVE_MARGIN_S = 1.0
-# Idle time within which a connection is used again if the server names none.
-DEFAULT_REUSE_S = 4.0
+# For servers that send no ``Keep-Alive: timeout``.
+DEFAULT_MAX_IDLE_S = 4.0
 
-Belongs = Callable[[HttpResponse], bool]
+ResponseMatcher = Callable[[HttpResponse], bool]
 
 
 @final
 class ExchangeError(Exception):
-    """An exchange ended without a whole answer.
+    """An exchange ended without a complete response.
 
     :param sent: whether any byte of the request may have reached the server.
-    :param connected: whether there was a connection.
-    :param idle_s: how long the connection was idle before the request; none if
-        the request was its first.
-    :param began: whether any byte of an answer arrived.
+    :param connected: whether the connection was established.
+    :param idle_s: seconds for which the connection was idle before the request,
+        or None if this was its first request.
+    :param began: whether any byte of a response arrived.
     """
 
     def __init__(
@@ -59,49 +59,55 @@
         self.began = began
 
 
-def any_response(response: HttpResponse) -> bool:
-    """Accept every response as one to the request."""
+def match_any(response: HttpResponse) -> bool:
+    """Accept every response."""
     return True
 
 
 @final
 class ClientConnection(Protocol):
-    """One connection to a server, with at most one request at a time."""
+    """Connection to a server with at most one request in flight.
 
-    def __init__(self, done: Callable[[ClientConnection], None]) -> None:
-        self._done = done
-        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_BYTES)
-        self._waiting: Deferred[HttpResponse] | None = None
-        self._belongs: Belongs = any_response
+    :param on_done: called when an exchange has ended or the connection is lost.
+    """
+
+    def __init__(self, on_done: Callable[[ClientConnection], None]) -> None:
+        self._on_done = on_done
+        self._http = h11.Connection(
+            h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
+        )
+        self._pending: Deferred[HttpResponse] | None = None
+        self._matches: ResponseMatcher = match_any
         self._sent_head: h11.Request | None = None
         self._head: h11.Response | None = None
         self._body: list[bytes] = []
         self._size = 0
         self.served = 0
-        self.reuse_s = DEFAULT_REUSE_S
+        self.max_idle_s = DEFAULT_MAX_IDLE_S
         self.idle_since = 0.0
         self.idle_s: float | None = None
-        self.usable = True
+        self.reusable = True
         self._began = False
 
     def connectionMade(self) -> None:
-        """Set the options of the socket."""
-        detect_silence(self.transport)
+        """Configure the socket."""
+        configure_socket(self.transport)
 
     def exchange(
-        self, request: HttpRequest, belongs: Belongs
+        self, request: HttpRequest, matches: ResponseMatcher
     ) -> Deferred[HttpResponse]:
         """Send a request.
 
-        Cancelling the result closes the connection at once.
+        Cancelling the result aborts the connection.
 
-        :param belongs: whether an answer is one to this request; others are
-            dropped.
+        :param matches: whether a response is the one to this request; others are
+            discarded.
+        :return: fires with the response, or fails with ``ExchangeError``.
         """
-        self._belongs = belongs
+        self._matches = matches
         self._began = False
-        waiting: Deferred[HttpResponse] = Deferred(lambda _: self._abort())
-        self._waiting = waiting
+        pending: Deferred[HttpResponse] = Deferred(lambda _: self._cancel())
+        self._pending = pending
         try:
             self._sent_head = _encode_head(request)
             out = [self._http.send(self._sent_head)]
@@ -110,64 +116,64 @@
             out.append(self._http.send(h11.EndOfMessage()))
         except h11.LocalProtocolError as exc:
             self._fail(f"the request cannot be encoded: {exc}", sent=False)
-            self.drop()
-            return waiting
+            self.abort()
+            return pending
         self.transport.write(b"".join(filter(None, out)))
-        return waiting
+        return pending
 
     def dataReceived(self, data: bytes) -> None:
-        """Feed the parser."""
-        if self._waiting is None:
-            # No request waits, so that these bytes belong to none.
-            self.drop()
+        """Feed the parser, or abort if no request is in flight."""
+        if self._pending is None:
+            # Unsolicited data would be taken for the response to the next request.
+            self.abort()
             return
         self._began = True
         self._http.receive_data(data)
         self._parse()
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override]
-        """End an unframed answer, or fail the exchange."""
-        self.usable = False
-        if self._waiting is not None and reason.check(ConnectionDone) is not None:
+        """Complete a response that ends with the connection, or fail the exchange."""
+        self.reusable = False
+        if self._pending is not None and reason.check(ConnectionDone) is not None:
             self._http.receive_data(b"")
             self._parse()
         self._fail(reason.getErrorMessage(), sent=True)
-        self._done(self)
+        self._on_done(self)
 
-    def drop(self) -> None:
-        """Close at once; the connection is not used again."""
-        self.usable = False
+    def abort(self) -> None:
+        """Close without sending buffered data; the connection is not reused."""
+        self.reusable = False
         self.transport.abortConnection()
 
-    def _abort(self) -> None:
-        self._waiting = None
-        self.drop()
+    def _cancel(self) -> None:
+        self._pending = None
+        self.abort()
 
     def _parse(self) -> None:
         try:
-            while self._waiting is not None:
-                item = self._http.next_event()
-                if item is h11.NEED_DATA or item is h11.PAUSED:
+            while self._pending is not None:
+                event = self._http.next_event()
+                if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
-                if isinstance(item, h11.ConnectionClosed):
+                if isinstance(event, h11.ConnectionClosed):
                     return
-                self._take(item)
+                self._handle_event(event)
         except h11.RemoteProtocolError as exc:
-            self._fail(f"malformed answer: {exc}", sent=True)
-            self.drop()
+            self._fail(f"malformed response: {exc}", sent=True)
+            self.abort()
 
-    def _take(self, item: Any) -> None:
-        if isinstance(item, h11.Response):
-            self._head = item
+    def _handle_event(self, event: Any) -> None:
+        if isinstance(event, h11.Response):
+            self._head = event
             self._body = []
             self._size = 0
-        elif isinstance(item, h11.Data):
-            self._body.append(bytes(item.data))
-            self._size += len(item.data)
-            if self._size > ANSWER_BYTES:
-                self._fail("the answer is too large", sent=True)
-                self.drop()
-        elif isinstance(item, h11.EndOfMessage):
+        elif isinstance(event, h11.Data):
+            self._body.append(bytes(event.data))
+            self._size += len(event.data)
+            if self._size > MAX_RESPONSE_BYTES:
+                self._fail("the response is too large", sent=True)
+                self.abort()
+        elif isinstance(event, h11.EndOfMessage):
             self._finish()
 
     def _finish(self) -> None:
@@ -179,55 +185,58 @@
             b"".join(self._body),
             bytes(head.reason).decode("latin-1"),
         )
-        if not self._belongs(response):
-            self._expect_another()
+        if not self._matches(response):
+            self._discard_response()
             return
-        waiting, self._waiting = self._waiting, None
+        pending, self._pending = self._pending, None
         self._body = []
         self.served += 1
-        self._settle(response)
-        self._done(self)
-        if waiting is not None:
-            waiting.callback(response)
-
-    def _settle(self, response: HttpResponse) -> None:
-        """Decide whether the connection can carry another request."""
-        found = KEEP_ALIVE.search(header(response.headers, "keep-alive"))
-        if found is not None:
-            self.reuse_s = float(found.group(1)) - KEEP_ALIVE_MARGIN_S
-        extra, _ = self._http.trailing_data
-        if extra or not self.usable:
-            self.drop()
+        self._prepare_reuse(response)
+        self._on_done(self)
+        if pending is not None:
+            pending.callback(response)
+
+    def _prepare_reuse(self, response: HttpResponse) -> None:
+        """Prepare the connection for another request, or close it."""
+        match = KEEP_ALIVE_TIMEOUT_PATTERN.search(
+            header(response.headers, "keep-alive")
+        )
+        if match is not None:
+            self.max_idle_s = float(match.group(1)) - KEEP_ALIVE_MARGIN_S
+        trailing, _ = self._http.trailing_data
+        if trailing or not self.reusable:
+            self.abort()
             return
         try:
             self._http.start_next_cycle()
         except h11.LocalProtocolError:
-            self.usable = False
+            self.reusable = False
             self.transport.loseConnection()
 
-    def _expect_another(self) -> None:
-        """Drop an answer to some other request and wait for the right one."""
-        self.usable = False
-        extra, closed = self._http.trailing_data
-        fresh = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_BYTES)
+    def _discard_response(self) -> None:
+        """Discard a response to another request and wait for the matching one."""
+        self.reusable = False
+        trailing, closed = self._http.trailing_data
+        parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         assert self._sent_head is not None
-        # The parser needs to know of the request; its bytes are out already.
-        fresh.send(
+        # The parser accepts a response only after a request; the output of this
+        # substitute is not written, because the real request has been sent.
+        parser.send(
             h11.Request(
                 method=self._sent_head.method, target="/", headers=[("Host", "h")]
             )
         )
-        fresh.send(h11.EndOfMessage())
-        self._http = fresh
-        if extra:
-            fresh.receive_data(extra)
+        parser.send(h11.EndOfMessage())
+        self._http = parser
+        if trailing:
+            parser.receive_data(trailing)
         if closed:
-            fresh.receive_data(b"")
+            parser.receive_data(b"")
 
     def _fail(self, detail: str, *, sent: bool) -> None:
-        waiting, self._waiting = self._waiting, None
-        if waiting is not None:
-            waiting.errback(
+        pending, self._pending = self._pending, None
+        if pending is not None:
+            pending.errback(
                 ExchangeError(
                     detail,
                     sent=sent,
@@ -240,10 +249,10 @@
 
 def _encode_head(request: HttpRequest) -> h11.Request:
     headers = request.headers
-    framed = any(
+    has_framing = any(
         k.lower() in ("content-length", "transfer-encoding") for k, _ in headers
     )
-    if request.body and not framed:
+    if request.body and not has_framing:
         headers = (*headers, ("Content-Length", str(len(request.body))))
     return h11.Request(
         method=request.method.encode("latin-1"),
--- a/packages/transport/src/sycamorenotch_transport/_http1_messages.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages and limits that server and client share."""
+"""HTTP/1.1 messages and limits, used by the server and the client."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 HeaderPairs = tuple[tuple[str, str], ...]
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1).
+# RFC 9110, section 7.6.1.
 CONNECTION_HEADERS = frozenset(
     {
         "connection",
@@ -26,9 +26,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A whole request.
+    """A complete request.
 
-    :param headers: in the order and spelling of the wire.
+    :param target: request target, percent-encoded as received.
+    :param headers: names and values in their original order and spelling.
     """
 
     method: str
@@ -40,9 +41,9 @@
 @final
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole response.
+    """A complete response.
 
-    :param close: whether the connection ends with it.
+    :param close: whether to close the connection after it.
     """
 
     status: int
@@ -55,9 +56,13 @@
 @final
 @dataclass(frozen=True, slots=True)
 class HttpBounds:
-    """What a client may send and how long it may take.
+    """Limits on the clients of a server.
 
-    :param buffered_bytes: request bodies that one listener holds at once.
+    :param header_bytes: maximum size of a request line and headers.
+    :param body_bytes: maximum size of a request body.
+    :param header_timeout_s: maximum time to receive a request line and headers.
+    :param idle_timeout_s: time after which an idle connection is closed.
+    :param buffered_bytes: maximum size of all request bodies in memory together.
     """
 
     header_bytes: int = 16_384
@@ -70,13 +75,13 @@
 def header(headers: HeaderPairs, name: str) -> str:
     """Return the first value of a header, or an empty string.
 
-    :param name: in lower case.
+    :param name: header name in lower case.
     """
     return next((value for key, value in headers if key.lower() == name), "")
 
 
 def without_connection_headers(headers: HeaderPairs) -> HeaderPairs:
-    """Drop the headers that concern one connection only."""
+    """Remove hop-by-hop headers, including those that ``Connection`` lists."""
     nominated = {
         item.strip().lower()
         for key, value in headers
@@ -88,7 +93,7 @@
 
 
 def decode_headers(raw: list[tuple[bytes, bytes]]) -> HeaderPairs:
-    """Decode raw headers as ISO 8859-1, in which each byte is a character."""
+    """Decode raw headers as ISO 8859-1, which maps every byte to a character."""
     return tuple((k.decode("latin-1"), v.decode("latin-1")) for k, v in raw)
 
 
--- a/packages/transport/src/sycamorenotch_transport/_http1_pool.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_pool.py
@@ -1,4 +1,4 @@
-"""Connections of an HTTP/1.1 client to one server."""
+"""Connection pool of the HTTP/1.1 client."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from sycamorenotch_transport._http1_client import Belongs
 from sycamorenotch_transport._http1_client import ClientConnection
 from sycamorenotch_transport._http1_client import ExchangeError
-from sycamorenotch_transport._http1_client import any_response
+from sycamorenotch_transport._http1_client import ResponseMatcher
+from sycamorenotch_transport._http1_client import match_any
 from sycamorenotch_transport._http1_messages import HttpRequest
 from sycamorenotch_transport._http1_messages import HttpResponse
 
-# Connections kept for further requests, unless the owner sets another limit.
-IDLE_CONNECTIONS = 16
+# Default of ``Http1Pool.idle_limit``.
+MAX_IDLE_CONNECTIONS = 16
 
 
 @final
-class _Connector(ClientFactory):
+class _ConnectionFactory(ClientFactory):
     noisy = False
 
     def __init__(self, result: Deferred[ClientConnection], pool: Http1Pool) -> None:
@@ -32,13 +32,13 @@
         self._pool = pool
 
     def buildProtocol(self, addr: Any) -> Protocol:
-        connection = ClientConnection(self._pool.give_back)
-        made = connection.connectionMade
+        connection = ClientConnection(self._pool.release)
+        original = connection.connectionMade
 
         def connection_made() -> None:
-            made()
+            original()
             if self._result.called:
-                connection.drop()
+                connection.abort()
             else:
                 self._result.callback(connection)
 
@@ -53,9 +53,10 @@
 
 @final
 class Http1Pool:
-    """Connections to one server, the one used last first.
+    """Connections to one server; the most recently used one is reused first.
 
-    :param clock: seconds on the monotonic clock.
+    :param address: ``IP:port`` of the server.
+    :param clock: monotonic clock, in seconds.
     """
 
     def __init__(self, reactor: Any, address: str, clock: Callable[[], float]) -> None:
@@ -64,68 +65,70 @@
         host, _, port = address.rpartition(":")
         self._host, self._port = host, int(port)
         self._idle: deque[ClientConnection] = deque()
-        self.idle_limit = IDLE_CONNECTIONS
+        self.idle_limit = MAX_IDLE_CONNECTIONS
         self._closed = False
 
     async def exchange(
         self,
         request: HttpRequest,
-        connect_s: float,
-        belongs: Belongs = any_response,
-        reuse_s: float = 1e9,
+        connect_timeout_s: float,
+        matches: ResponseMatcher = match_any,
+        max_idle_s: float = 1e9,
     ) -> HttpResponse:
-        """Send a request and wait for the whole answer.
+        """Send a request and wait for the complete response.
 
-        :param connect_s: bound on opening a connection.
-        :param reuse_s: longest idle time of a connection that may be used.
-        :raises ExchangeError: if no whole answer arrives.
+        :param connect_timeout_s: timeout of opening a connection.
+        :param matches: whether a response is the one to this request; others are
+            discarded.
+        :param max_idle_s: connections that were idle for longer are not reused.
+        :raises ExchangeError: if no complete response arrives.
         """
-        connection = self._take_idle(reuse_s)
+        connection = self._acquire_idle(max_idle_s)
         if connection is None:
-            connection = await self._open(connect_s)
-        return await connection.exchange(request, belongs)
+            connection = await self._open(connect_timeout_s)
+        return await connection.exchange(request, matches)
 
     def close(self) -> None:
-        """Close the idle connections; those in use are closed when they end."""
+        """Close idle connections now, and those in use after their exchange."""
         self._closed = True
         while self._idle:
-            self._idle.pop().drop()
+            self._idle.pop().abort()
 
     def prune(self) -> None:
-        """Close connections that are idle for too long to be used again."""
+        """Close connections whose idle time exceeds their limit."""
         now = self._clock()
         for connection in tuple(self._idle):
-            if now - connection.idle_since >= connection.reuse_s:
+            if now - connection.idle_since >= connection.max_idle_s:
                 self._idle.remove(connection)
-                connection.drop()
+                connection.abort()
 
-    def give_back(self, connection: ClientConnection) -> None:
-        """Take a connection whose exchange has ended."""
-        if connection.usable and not self._closed:
+    def release(self, connection: ClientConnection) -> None:
+        """Return a connection to the pool after its exchange, or close it."""
+        if connection.reusable and not self._closed:
             connection.idle_since = self._clock()
             self._idle.append(connection)
             while len(self._idle) > self.idle_limit:
-                self._idle.popleft().drop()
+                self._idle.popleft().abort()
             return
         if connection in self._idle:
             self._idle.remove(connection)
-        if connection.usable:
-            connection.drop()
+        if connection.reusable:
+            connection.abort()
 
-    def _take_idle(self, reuse_s: float) -> ClientConnection | None:
+    def _acquire_idle(self, max_idle_s: float) -> ClientConnection | None:
         now = self._clock()
         while self._idle:
             connection = self._idle.pop()
             idle = now - connection.idle_since
-            if connection.usable and idle < min(reuse_s, connection.reuse_s):
+            if connection.reusable and idle < min(max_idle_s, connection.max_idle_s):
                 connection.idle_s = idle
                 return connection
-            connection.drop()
+            connection.abort()
         return None
 
-    def _open(self, connect_s: float) -> Deferred[ClientConnection]:
+    def _open(self, connect_timeout_s: float) -> Deferred[ClientConnection]:
         result: Deferred[ClientConnection] = Deferred(lambda _: connector.disconnect())
         connector = self._reactor.connectTCP(
-            self._host, self._port, _Connector(result, self), connect_s
+            self._host, self._port, _ConnectionFactory(result, self), connect_timeout_s
         )
         return result
--- a/packages/transport/src/sycamorenotch_transport/_http1_server.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server that hands on exact headers and cancels with its client."""
+"""HTTP/1.1 server that preserves headers and cancels work for lost clients."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from sycamorenotch_transport._http1_messages import HttpResponse
 from sycamorenotch_transport._http1_messages import decode_headers
 from sycamorenotch_transport._http1_messages import encode_headers
-from sycamorenotch_transport._sockets import detect_silence
+from sycamorenotch_transport._sockets import configure_socket
 
 BODILESS_STATUS = frozenset({204, 304})
 CLOSE = ("Connection", "close")
 
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
-Complaint = Callable[[int, str], HttpResponse]
+BuildErrorResponse = Callable[[int, str], HttpResponse]
 Report = Callable[[str], None]
 
 
 @final
 class ServerConnection(Protocol):
-    """One connection of a client; requests are handled one at a time."""
+    """Connection of a client; its requests are handled one at a time."""
 
     def __init__(self, server: Http1Server) -> None:
         self._server = server
@@ -41,94 +41,99 @@
         self._head: h11.Request | None = None
         self._body: list[bytes] = []
         self._size = 0
-        self._running: Deferred[Any] | None = None
+        self._handler_fut: Deferred[Any] | None = None
         self._timer: Any = None
         self._closing = False
         self.idle = True
 
     def connectionMade(self) -> None:
-        """Wait for the first request."""
+        """Register the connection and start its idle timeout."""
         self._server.connections.add(self)
-        detect_silence(self.transport)
-        self._arm(self._server.bounds.idle_timeout_s, self.close)
+        configure_socket(self.transport)
+        self._start_timer(self._server.bounds.idle_timeout_s, self.close)
 
     def dataReceived(self, data: bytes) -> None:
-        """Feed the parser."""
+        """Feed the parser and handle the next request if none is in progress."""
         if self._closing:
             return
         if self.idle:
             self.idle = False
-            self._arm(self._server.bounds.header_timeout_s, self._slow)
+            self._start_timer(
+                self._server.bounds.header_timeout_s, self._on_head_timeout
+            )
         try:
             self._http.receive_data(data)
         except RuntimeError:
-            # The client had announced that it would send no more.
+            # h11 raises if data follows the end of the client's stream.
             self.close()
             return
-        if self._running is None:
+        if self._handler_fut is None:
             self._parse()
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override]
-        """Cancel the work for a client that is gone."""
+        """Cancel the handler of a request in progress."""
         self._server.connections.discard(self)
-        self._release()
-        self._disarm()
+        self._release_body()
+        self._cancel_timer()
         self._closing = True
-        running, self._running = self._running, None
-        if running is not None:
-            running.cancel()
-        self._server.connection_ended()
+        handler_fut, self._handler_fut = self._handler_fut, None
+        if handler_fut is not None:
+            handler_fut.cancel()
+        self._server.on_connection_lost()
 
     def close(self) -> None:
-        """Close after what was written has been sent."""
+        """Close after buffered output has been sent."""
         self._closing = True
-        self._disarm()
+        self._cancel_timer()
         self.transport.loseConnection()
 
     def _parse(self) -> None:
         try:
-            while not self._closing and self._running is None:
-                if not self._take(self._http.next_event()):
+            while not self._closing and self._handler_fut is None:
+                if not self._handle_event(self._http.next_event()):
                     return
         except h11.RemoteProtocolError as exc:
-            self._complain(exc.error_status_hint, str(exc))
+            self._reject(exc.error_status_hint, str(exc))
 
-    def _take(self, item: Any) -> bool:
-        """Handle one parser event; return whether there may be another."""
-        if item is h11.NEED_DATA:
+    def _handle_event(self, event: Any) -> bool:
+        """Handle a parser event.
+
+        :return: whether to ask the parser for another event.
+        """
+        if event is h11.NEED_DATA:
             if self._http.they_are_waiting_for_100_continue:
-                go = h11.InformationalResponse(status_code=100, headers=[])
-                self.transport.write(self._http.send(go))
+                interim = h11.InformationalResponse(status_code=100, headers=[])
+                self.transport.write(self._http.send(interim))
             return False
-        if item is h11.PAUSED:
+        if event is h11.PAUSED:
             return False
-        if isinstance(item, h11.Request):
-            # The rest of the body may take as long as the caller is patient.
-            self._disarm()
-            self._head = item
+        if isinstance(event, h11.Request):
+            # No timeout applies to the body: a caller may send it slowly.
+            self._cancel_timer()
+            self._head = event
             return True
-        if isinstance(item, h11.Data):
-            return self._take_body(bytes(item.data))
-        if isinstance(item, h11.EndOfMessage):
+        if isinstance(event, h11.Data):
+            return self._receive_body(bytes(event.data))
+        if isinstance(event, h11.EndOfMessage):
             self._handle()
             return True
         self.close()
         return False
 
-    def _take_body(self, data: bytes) -> bool:
+    def _receive_body(self, data: bytes) -> bool:
         self._body.append(data)
         self._size += len(data)
-        self._server.buffered += len(data)
+        self._server.total_body_bytes += len(data)
         if self._size > self._server.bounds.body_bytes:
-            self._complain(413, "the body is too large")
+            self._reject(413, "the request body is too large")
             return False
-        if self._server.buffered > self._server.bounds.buffered_bytes:
-            self._complain(503, "no memory is left for the body")
+        if self._server.total_body_bytes > self._server.bounds.buffered_bytes:
+            self._reject(503, "the buffers for request bodies are full")
             return False
         return True
 
     def _handle(self) -> None:
-        self._disarm()
+        self._cancel_timer()
         head = self._head
         assert head is not None
         request = HttpRequest(
@@ -137,20 +142,22 @@
             decode_headers(head.headers.raw_items()),
             b"".join(self._body),
         )
-        deferred = Deferred.fromCoroutine(_awaited(self._server.handler(request)))
-        self._running = deferred
+        deferred = Deferred.fromCoroutine(
+            _await_response(self._server.handler(request))
+        )
+        self._handler_fut = deferred
         deferred.addCallbacks(self._respond, self._failed)
 
     def _failed(self, failure: Failure) -> None:
         if failure.check(CancelledError) is None:
             self._server.report(failure.getErrorMessage())
-            self._respond(self._server.complain(500, "internal error"))
+            self._respond(self._server.build_error(500, "internal error"))
 
     def _respond(self, response: HttpResponse) -> None:
-        self._running = None
+        self._handler_fut = None
         if self._closing:
             return
-        self._release()
+        self._release_body()
         last = response.close or self._server.draining
         self._write(response, last)
         if last or self._http.our_state is not h11.DONE:
@@ -159,19 +166,21 @@
         try:
             self._http.start_next_cycle()
         except h11.LocalProtocolError:
-            # The client wants no further request on this connection.
+            # The client or the protocol version rules out another request.
             self.close()
             return
         self._head = None
         self.idle = not self._http.trailing_data[0]
         if self.idle:
-            self._arm(self._server.bounds.idle_timeout_s, self.close)
+            self._start_timer(self._server.bounds.idle_timeout_s, self.close)
         else:
             self._server.call_soon(self._parse_next)
 
     def _parse_next(self) -> None:
-        if self._running is None and not self._closing:
-            self._arm(self._server.bounds.header_timeout_s, self._slow)
+        if self._handler_fut is None and not self._closing:
+            self._start_timer(
+                self._server.bounds.header_timeout_s, self._on_head_timeout
+            )
             self._parse()
 
     def _write(self, response: HttpResponse, last: bool) -> None:
@@ -194,46 +203,48 @@
         out.append(self._http.send(h11.EndOfMessage()))
         self.transport.write(b"".join(filter(None, out)))
 
-    def _complain(self, status: int, detail: str) -> None:
-        self._release()
+    def _reject(self, status: int, detail: str) -> None:
+        self._release_body()
         self._server.report(f"{status}: {detail}")
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            response = self._server.complain(status, detail)
+            response = self._server.build_error(status, detail)
             try:
                 self._write(response, last=True)
             except h11.LocalProtocolError as exc:
-                self._server.report(f"no answer could be written: {exc}")
+                self._server.report(f"the error response could not be written: {exc}")
         self.close()
 
-    def _slow(self) -> None:
-        self._complain(408, "the head was not received in time")
+    def _on_head_timeout(self) -> None:
+        self._reject(408, "the request headers were not received in time")
 
-    def _release(self) -> None:
-        self._server.buffered -= self._size
+    def _release_body(self) -> None:
+        self._server.total_body_bytes -= self._size
         self._size = 0
         self._body = []
 
-    def _arm(self, delay_s: float, function: Callable[[], None]) -> None:
-        self._disarm()
+    def _start_timer(self, delay_s: float, function: Callable[[], None]) -> None:
+        self._cancel_timer()
         self._timer = self._server.call_later(delay_s, function)
 
-    def _disarm(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
 
 
-async def _awaited(work: Awaitable[HttpResponse]) -> HttpResponse:
+async def _await_response(work: Awaitable[HttpResponse]) -> HttpResponse:
     return await work
 
 
 @final
 class Http1Server(Factory):
-    """Serves one handler on one address.
+    """Server that passes the requests on one address to a handler.
 
-    :param handler: answers a request; cancelled when the client leaves.
-    :param complain: builds the answer to a malformed or too large request.
-    :param report: receives a line for each request that was not handled.
+    :param handler: returns the response to a request; cancelled when the client
+        disconnects.
+    :param build_error: builds the response to a request that is malformed, exceeds
+        a limit, or whose handler raised.
+    :param report: receives a message for each of these requests.
     """
 
     noisy = False
@@ -242,26 +253,26 @@
         self,
         reactor: Any,
         handler: Handler,
-        complain: Complaint,
+        build_error: BuildErrorResponse,
         report: Report,
         bounds: HttpBounds | None = None,
     ) -> None:
         self._reactor = reactor
         self.handler = handler
-        self.complain = complain
+        self.build_error = build_error
         self.report = report
         self.bounds = HttpBounds() if bounds is None else bounds
         self.connections: set[ServerConnection] = set()
-        self.buffered = 0
+        self.total_body_bytes = 0
         self.draining = False
         self._port: Any = None
-        self._empty: Deferred[None] | None = None
+        self._drained: Deferred[None] | None = None
 
     def listen(self, address: str, backlog: int) -> None:
         """Accept connections on ``IP:port``.
 
-        :param backlog: connections that wait to be accepted.
-        :raises twisted.internet.error.CannotListenError: if the port is taken.
+        :param backlog: length of the queue of connections that are not yet accepted.
+        :raises twisted.internet.error.CannotListenError: if the port is in use.
         """
         host, _, port = address.rpartition(":")
         self._port = self._reactor.listenTCP(int(port), self, backlog, host)
@@ -269,17 +280,18 @@
     @property
     def address(self) -> str:
         """``IP:port`` that the server listens on."""
-        place = self._port.getHost()
-        return f"{place.host}:{place.port}"
+        host_address = self._port.getHost()
+        return f"{host_address.host}:{host_address.port}"
 
     def buildProtocol(self, addr: Any) -> ServerConnection:
         """Build the protocol of one connection."""
         return ServerConnection(self)
 
-    async def stop(self, bound_s: float) -> int:
-        """Stop listening, close idle connections, wait for the others.
+    async def stop(self, timeout_s: float) -> int:
+        """Stop listening, close idle connections and wait for the others.
 
-        :return: connections that still had a request after the bound.
+        :param timeout_s: maximum time to wait for requests in progress.
+        :return: number of connections that were still open after the timeout.
         """
         self.draining = True
         if self._port is not None:
@@ -287,26 +299,26 @@
         for connection in tuple(self.connections):
             if connection.idle:
                 connection.close()
-        if self.connections and bound_s > 0:
-            self._empty = Deferred()
-            self._empty.addTimeout(bound_s, self._reactor, lambda result, _: None)
-            await self._empty
-        left = len(self.connections)
+        if self.connections and timeout_s > 0:
+            self._drained = Deferred()
+            self._drained.addTimeout(timeout_s, self._reactor, lambda result, _: None)
+            await self._drained
+        unfinished = len(self.connections)
         for connection in tuple(self.connections):
             connection.close()
-        return left
+        return unfinished
 
-    def connection_ended(self) -> None:
-        """Take note that a connection is closed."""
-        if not self.connections and self._empty is not None:
-            empty, self._empty = self._empty, None
-            if not empty.called:
-                empty.callback(None)
+    def on_connection_lost(self) -> None:
+        """Complete ``stop`` if this was the last connection."""
+        if not self.connections and self._drained is not None:
+            drained, self._drained = self._drained, None
+            if not drained.called:
+                drained.callback(None)
 
     def call_later(self, delay_s: float, function: Callable[[], None]) -> Any:
-        """Run a function after a delay."""
+        """Schedule a function after a delay and return its timer."""
         return self._reactor.callLater(delay_s, function)
 
     def call_soon(self, function: Callable[[], None]) -> None:
-        """Run a function in the next turn of the loop."""
+        """Schedule a function for the next iteration of the reactor."""
         self._reactor.callLater(0, function)
--- a/packages/transport/src/sycamorenotch_transport/_listeners.py
+++ b/packages/transport/src/sycamorenotch_transport/_listeners.py
@@ -1,4 +1,4 @@
-"""HTTP listeners that stop without cutting requests."""
+"""HTTP listeners that finish open requests before they stop."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 from twisted.web.resource import IResource
 from twisted.web.server import Site
 
-from sycamorenotch_transport._bounded_http import BoundedChannel
-from sycamorenotch_transport._bounded_http import BoundedRequest
-from sycamorenotch_transport._bounded_http import Refuse
+from sycamorenotch_transport._bounded_http import BuildRejection
+from sycamorenotch_transport._bounded_http import LimitedChannel
+from sycamorenotch_transport._bounded_http import LimitedRequest
 from sycamorenotch_transport._bounded_http import RequestBounds
-from sycamorenotch_transport._bounded_http import plain_answer
+from sycamorenotch_transport._bounded_http import plain_text_rejection
 
-IDLE_CONNECTION_S = 60
+IDLE_TIMEOUT_S = 60
 DEFAULT_BOUNDS = RequestBounds()
 
 
 @final
 class HttpListener:
-    """Serves a resource on an address.
+    """Serves a Twisted Web resource on an address.
 
     :param endpoint: Twisted endpoint string, or empty for plain TCP on the
         address.
     :param address: ``IP:port``.
-    :param answer_for: builds the answer to a request beyond the bounds.
+    :param build_rejection: builds the response to a request that exceeds a limit.
+    :param bounds: limits on one request.
     """
 
     def __init__(
@@ -38,66 +39,70 @@
         reactor: Any,
         endpoint: str,
         address: str,
-        answer_for: Refuse = plain_answer,
+        build_rejection: BuildRejection = plain_text_rejection,
         bounds: RequestBounds = DEFAULT_BOUNDS,
     ) -> None:
         self._reactor = reactor
         self._endpoint = endpoint or _tcp_endpoint(address)
-        self._answer_for = answer_for
+        self._build_rejection = build_rejection
         self._bounds = bounds
         self._port: IListeningPort | None = None
-        self._open: set[Request] = set()
-        self._idle: Deferred[None] | None = None
+        self._open_requests: set[Request] = set()
+        self._drained: Deferred[None] | None = None
 
     async def start(self, resource: IResource) -> None:
-        """Listen; the port accepts connections when this returns."""
+        """Start listening; the port accepts connections when this returns."""
         site = Site(
             resource,
-            timeout=IDLE_CONNECTION_S,
+            timeout=IDLE_TIMEOUT_S,
             reactor=self._reactor,
             parsePOSTFormSubmission=False,
         )
         site.displayTracebacks = False
         site.protocol = self._build_channel
-        site.requestFactory = self._track(BoundedRequest)
+        site.requestFactory = self._track_requests(LimitedRequest)
         endpoint = serverFromString(self._reactor, self._endpoint)
         self._port = await endpoint.listen(site)
 
-    async def stop(self, bound: timedelta) -> int:
+    async def stop(self, timeout: timedelta) -> int:
         """Stop listening, then wait for open requests.
 
-        :param bound: longest time to wait for open requests.
+        :param timeout: maximum time to wait for open requests.
         :return: number of requests that are still open.
         """
         if self._port is not None:
             await self._port.stopListening()
-        if self._open and bound > timedelta():
-            self._idle = Deferred()
-            self._idle.addTimeout(
-                bound.total_seconds(), self._reactor, lambda result, _: None
+        if self._open_requests and timeout > timedelta():
+            self._drained = Deferred()
+            self._drained.addTimeout(
+                timeout.total_seconds(), self._reactor, lambda result, _: None
             )
-            await self._idle
-        return len(self._open)
+            await self._drained
+        return len(self._open_requests)
 
-    def _build_channel(self) -> BoundedChannel:
-        return BoundedChannel(self._reactor, self._bounds, self._answer_for)
+    def _build_channel(self) -> LimitedChannel:
+        return LimitedChannel(self._reactor, self._bounds, self._build_rejection)
 
     def _finish(self, req: Request) -> None:
-        self._open.discard(req)
-        if not self._open and self._idle is not None and not self._idle.called:
-            self._idle.callback(None)
-
-    def _track(self, factory: Any) -> Any:
+        self._open_requests.discard(req)
+        if (
+            not self._open_requests
+            and self._drained is not None
+            and not self._drained.called
+        ):
+            self._drained.callback(None)
+
+    def _track_requests(self, factory: Any) -> Any:
         def build(*args: Any, **kwargs: Any) -> Request:
             req = factory(*args, **kwargs)
             process = req.process
 
-            def tracked() -> None:
-                self._open.add(req)
+            def process_tracked() -> None:
+                self._open_requests.add(req)
                 req.notifyFinish().addBoth(lambda _: self._finish(req))
                 process()
 
-            req.process = tracked
+            req.process = process_tracked
             return req
 
         return build
--- a/packages/transport/src/sycamorenotch_transport/_resolver.py
+++ b/packages/transport/src/sycamorenotch_transport/_resolver.py
@@ -1,4 +1,4 @@
-"""Name resolution that accepts IP numbers only."""
+"""Resolver for IP address literals."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
         self.name = name
 
     def cancel(self) -> None:
-        """Do nothing; the resolution is complete when it is returned."""
+        """Do nothing; the resolution is already complete."""
 
 
 @implementer(IHostnameResolver)
 @final
 class LiteralResolver:
-    """Resolves IP numbers without a thread and finds no other names.
+    """Resolves IP address literals only, without threads.
 
-    Processes reach each other by IP number, while the default resolver of the
-    reactor starts a pool of threads.
+    Instances address each other by IP address. The default resolver of the
+    reactor would start a thread pool.
     """
 
     def resolveHostName(
@@ -43,7 +43,7 @@
         addressTypes: Sequence[type[IAddress]] | None = None,
         transportSemantics: str = "TCP",
     ) -> IHostResolution:
-        """Hand the address of an IP number to the receiver."""
+        """Report the address of a literal, or no address for any other name."""
         resolution = _Resolution(hostName)
         resolutionReceiver.resolutionBegan(resolution)
         try:
--- a/packages/transport/src/sycamorenotch_transport/_sockets.py
+++ b/packages/transport/src/sycamorenotch_transport/_sockets.py
@@ -1,15 +1,15 @@
-"""Socket options that reveal a silent peer."""
+"""Socket options for detecting dead peers."""
 
 from __future__ import annotations
 
 import socket
 from typing import Any
 
-# A silent peer is noticed after about IDLE + COUNT * INTERVAL seconds.
+# Without traffic, a dead peer is detected after about IDLE + COUNT * INTERVAL.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
-# Longest time that written bytes may stay without an acknowledgement.
+# Maximum time that sent data may remain unacknowledged.
 USER_TIMEOUT_MS = 4_000
 
 _OPTIONS = (
@@ -20,10 +20,11 @@
 )
 
 
-def detect_silence(transport: Any) -> None:
-    """Have the kernel end a connection whose peer no longer answers.
+def configure_socket(transport: Any) -> None:
+    """Enable TCP keep-alive and user timeout, and disable Nagle's algorithm.
 
-    Transports without a socket, such as those of tests, are left as they are.
+    The kernel then ends a connection whose peer no longer responds. Transports
+    without a socket, such as those of tests, are left unchanged.
     """
     handle = getattr(transport, "getHandle", None)
     if handle is None:
--- a/testing/transport/test_bounded_requests.py
+++ b/testing/transport/test_bounded_requests.py
@@ -1,4 +1,4 @@
-"""Tests of requests that are malformed, too large or too slow."""
+"""Tests of the rejection of malformed, too large and slow requests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Echo(Resource):
-    """Returns the body of a request at once or after a delay."""
+    """Returns the body of a POST at once and answers a GET after a delay."""
 
     isLeaf = True
 
@@ -131,7 +131,7 @@
         ),
     ],
 )
-def test_request_is_refused_with_one_answer_when_it_breaks_a_bound(
+def test_request_is_rejected_with_one_response_when_it_exceeds_a_limit(
     listener, run_in_reactor, parts, status: int, kind: str
 ) -> None:
     received = run_in_reactor(exchange(address(listener), *parts))
@@ -142,13 +142,13 @@
     assert received.count(b"HTTP/1.1") == 1
 
 
-def test_body_at_the_bound_is_accepted(listener, run_in_reactor) -> None:
+def test_body_at_the_limit_is_accepted(listener, run_in_reactor) -> None:
     head = b"POST / HTTP/1.1\r\nConnection: close\r\nContent-Length: 4096\r\n\r\n"
     received = run_in_reactor(exchange(address(listener), head, b"x" * 4096))
     assert received.endswith(b"\r\n\r\n" + b"x" * 4096)
 
 
-def test_malformed_form_is_passed_on_unread(listener, run_in_reactor) -> None:
+def test_malformed_form_is_forwarded_without_parsing(listener, run_in_reactor) -> None:
     head = (
         b"POST / HTTP/1.1\r\nConnection: close\r\nContent-Length: 3\r\n"
         b"Content-Type: multipart/form-data; boundary=b\r\n\r\n"
@@ -176,7 +176,7 @@
     run_in_reactor(scenario())
 
 
-def test_stop_reports_open_requests_when_the_bound_passes(run_in_reactor) -> None:
+def test_stop_returns_open_requests_when_the_timeout_passes(run_in_reactor) -> None:
     async def scenario() -> None:
         listener = build_listener()
         await listener.start(Echo())
--- a/testing/transport/test_http1_client.py
+++ b/testing/transport/test_http1_client.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP/1.1 client and its pool of connections."""
+"""Tests of the HTTP/1.1 client and its connection pool."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Transport(StringTransport):
-    """Counts aborts, which the base class takes for a plain close."""
+    """Counts aborts, which the base class does not tell from closes."""
 
     aborted = 0
 
@@ -30,8 +30,8 @@
         self.disconnecting = True
 
 
-class Servers:
-    """A pool and the connections that it opened."""
+class ClientHarness:
+    """A pool on a simulated reactor, with the connections that it opened."""
 
     def __init__(self) -> None:
         self.reactor = MemoryReactorClock()
@@ -42,7 +42,7 @@
 
     def exchange(self, request: HttpRequest = REQUEST, **kwargs):
         result = Deferred.fromCoroutine(
-            self.pool.exchange(request, connect_s=1.0, **kwargs)
+            self.pool.exchange(request, connect_timeout_s=1.0, **kwargs)
         )
         result.addBoth(self.results.append)
         return result
@@ -68,127 +68,129 @@
 
 
 @pytest.fixture
-def servers() -> Servers:
-    return Servers()
+def harness() -> ClientHarness:
+    return ClientHarness()
 
 
-def test_request_is_sent_without_headers_of_the_client(servers) -> None:
-    servers.exchange()
-    transport = servers.accept()
+def test_request_is_sent_without_additional_headers(harness) -> None:
+    harness.exchange()
+    transport = harness.accept()
     assert transport.value() == b"GET /a HTTP/1.1\r\nHost: h\r\nX-Id: 7\r\n\r\n"
 
 
-def test_connection_is_used_again_when_the_answer_is_whole(servers) -> None:
-    servers.exchange()
-    servers.accept()
-    servers.answer(OK)
-    servers.exchange()
-    assert len(servers.reactor.tcpClients) == 1
-    assert servers.results[0].body == b"hi"
+def test_connection_is_reused_when_the_response_is_complete(harness) -> None:
+    harness.exchange()
+    harness.accept()
+    harness.answer(OK)
+    harness.exchange()
+    assert len(harness.reactor.tcpClients) == 1
+    assert harness.results[0].body == b"hi"
 
 
-def test_connection_is_not_used_again_when_it_was_idle_too_long(servers) -> None:
-    servers.exchange()
-    servers.accept()
-    servers.answer(OK.replace(b"X-Id", b"Keep-Alive: timeout=5\r\nX-Id"))
-    servers.reactor.advance(4.1)
-    servers.exchange()
-    assert len(servers.reactor.tcpClients) == 2
+def test_connection_is_not_reused_when_it_was_idle_too_long(harness) -> None:
+    harness.exchange()
+    harness.accept()
+    harness.answer(OK.replace(b"X-Id", b"Keep-Alive: timeout=5\r\nX-Id"))
+    harness.reactor.advance(4.1)
+    harness.exchange()
+    assert len(harness.reactor.tcpClients) == 2
 
 
-def test_error_tells_how_long_the_connection_was_idle(servers) -> None:
-    servers.exchange()
-    servers.accept()
-    servers.answer(OK)
-    servers.reactor.advance(1.5)
-    servers.exchange()
-    servers.end(ConnectionLost())
-    assert servers.error.idle_s == 1.5
+def test_error_states_how_long_the_connection_was_idle(harness) -> None:
+    harness.exchange()
+    harness.accept()
+    harness.answer(OK)
+    harness.reactor.advance(1.5)
+    harness.exchange()
+    harness.end(ConnectionLost())
+    assert harness.error.idle_s == 1.5
 
 
 @pytest.mark.parametrize("extra", [b"x", OK])
-def test_connection_is_closed_when_bytes_follow_the_answer(servers, extra) -> None:
-    servers.exchange()
-    transport = servers.accept()
-    servers.answer(OK + extra)
-    assert servers.results[0].body == b"hi"
+def test_connection_is_closed_when_data_follows_the_response(harness, extra) -> None:
+    harness.exchange()
+    transport = harness.accept()
+    harness.answer(OK + extra)
+    assert harness.results[0].body == b"hi"
     assert transport.aborted
 
 
-def test_connection_is_closed_when_bytes_arrive_while_idle(servers) -> None:
-    servers.exchange()
-    transport = servers.accept()
-    servers.answer(OK)
-    servers.answer(OK)
+def test_connection_is_closed_when_data_arrives_while_idle(harness) -> None:
+    harness.exchange()
+    transport = harness.accept()
+    harness.answer(OK)
+    harness.answer(OK)
     assert transport.aborted
-    servers.exchange()
-    assert len(servers.reactor.tcpClients) == 2
+    harness.exchange()
+    assert len(harness.reactor.tcpClients) == 2
 
 
-def test_answer_to_another_request_is_dropped_and_the_right_one_taken(servers) -> None:
-    servers.exchange(belongs=lambda response: header(response.headers, "x-id") == "7")
-    transport = servers.accept()
-    servers.answer(OK.replace(b"X-Id: 7", b"X-Id: 6").replace(b"hi", b"no") + OK)
-    assert servers.results[0].body == b"hi"
+def test_response_to_another_request_is_discarded(harness) -> None:
+    harness.exchange(matches=lambda response: header(response.headers, "x-id") == "7")
+    transport = harness.accept()
+    harness.answer(OK.replace(b"X-Id: 7", b"X-Id: 6").replace(b"hi", b"no") + OK)
+    assert harness.results[0].body == b"hi"
     assert transport.disconnecting
 
 
-def test_truncated_answer_fails_and_may_have_run(servers) -> None:
-    servers.exchange()
-    servers.accept()
-    servers.answer(OK[:-1])
-    servers.end(ConnectionDone())
-    assert servers.error.sent and servers.error.began
+def test_truncated_response_fails_with_the_request_marked_as_sent(harness) -> None:
+    harness.exchange()
+    harness.accept()
+    harness.answer(OK[:-1])
+    harness.end(ConnectionDone())
+    assert harness.error.sent and harness.error.began
 
 
-def test_unframed_answer_is_whole_when_the_connection_is_closed(servers) -> None:
-    servers.exchange()
-    servers.accept()
-    servers.answer(b"HTTP/1.1 200 OK\r\n\r\nhello")
-    servers.end(ConnectionDone())
-    assert servers.results[0].body == b"hello"
+def test_response_without_length_is_complete_when_the_connection_is_closed(
+    harness,
+) -> None:
+    harness.exchange()
+    harness.accept()
+    harness.answer(b"HTTP/1.1 200 OK\r\n\r\nhello")
+    harness.end(ConnectionDone())
+    assert harness.results[0].body == b"hello"
 
 
-def test_unframed_answer_is_broken_when_the_connection_is_reset(servers) -> None:
-    servers.exchange()
-    servers.accept()
-    servers.answer(b"HTTP/1.1 200 OK\r\n\r\nhello")
-    servers.end(ConnectionLost())
-    assert servers.error.sent
+def test_response_without_length_fails_when_the_connection_is_reset(harness) -> None:
+    harness.exchange()
+    harness.accept()
+    harness.answer(b"HTTP/1.1 200 OK\r\n\r\nhello")
+    harness.end(ConnectionLost())
+    assert harness.error.sent
 
 
-def test_malformed_answer_fails_and_closes(servers) -> None:
-    servers.exchange()
-    transport = servers.accept()
-    servers.answer(b"\x00\x01nonsense\r\n\r\n")
-    assert servers.error.sent
+def test_malformed_response_fails_and_closes_the_connection(harness) -> None:
+    harness.exchange()
+    transport = harness.accept()
+    harness.answer(b"\x00\x01nonsense\r\n\r\n")
+    assert harness.error.sent
     assert transport.aborted
 
 
-def test_nothing_was_sent_when_the_connection_is_refused(servers) -> None:
-    servers.exchange()
-    factory = servers.reactor.tcpClients[-1][2]
+def test_request_is_marked_as_not_sent_when_the_connection_is_refused(harness) -> None:
+    harness.exchange()
+    factory = harness.reactor.tcpClients[-1][2]
     factory.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
-    assert not servers.error.sent
-    assert not servers.error.connected
+    assert not harness.error.sent
+    assert not harness.error.connected
 
 
-def test_connection_is_closed_at_once_when_the_exchange_is_cancelled(servers) -> None:
-    result = servers.exchange()
-    transport = servers.accept()
+def test_connection_is_closed_at_once_when_the_exchange_is_cancelled(harness) -> None:
+    result = harness.exchange()
+    transport = harness.accept()
     result.cancel()
     assert transport.aborted
 
 
-def test_body_is_sent_with_its_length(servers) -> None:
-    servers.exchange(HttpRequest("POST", "/a", (("Host", "h"),), b"abc"))
-    transport = servers.accept()
+def test_body_is_sent_with_its_length(harness) -> None:
+    harness.exchange(HttpRequest("POST", "/a", (("Host", "h"),), b"abc"))
+    transport = harness.accept()
     assert b"Content-Length: 3\r\n\r\nabc" in transport.value()
 
 
-def test_connection_is_closed_when_the_request_cannot_be_encoded(servers) -> None:
-    servers.exchange(HttpRequest("GET", "/a", (("Host", "h"), ("X", "a\nb"))))
-    transport = servers.accept()
-    assert not servers.error.sent
+def test_connection_is_closed_when_the_request_cannot_be_encoded(harness) -> None:
+    harness.exchange(HttpRequest("GET", "/a", (("Host", "h"), ("X", "a\nb"))))
+    transport = harness.accept()
+    assert not harness.error.sent
     assert transport.aborted
     assert transport.value() == b""
--- a/testing/transport/test_http1_server.py
+++ b/testing/transport/test_http1_server.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP/1.1 server that forwards exactly."""
+"""Tests of the HTTP/1.1 server."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 GET = b"GET /a?b=%20c HTTP/1.1\r\nHost: h\r\nX-OwN: 1\r\n\r\n"
 
 
-class Wire:
-    """A server, one connection to it, and the requests that arrived."""
+class Harness:
+    """A server with one connection, the received requests and their responses."""
 
     def __init__(self, bounds: HttpBounds | None = None) -> None:
         self.clock = Clock()
@@ -27,7 +27,7 @@
         self.cancelled = 0
         self.reports: list[str] = []
         self.server = Http1Server(
-            self.clock, self.handle, complain, self.reports.append, bounds
+            self.clock, self.handle, build_error, self.reports.append, bounds
         )
         self.connection = self.server.buildProtocol(None)
         self.transport = StringTransport()
@@ -50,70 +50,70 @@
         return self.transport.value()
 
 
-def complain(status: int, detail: str) -> HttpResponse:
+def build_error(status: int, detail: str) -> HttpResponse:
     return HttpResponse(status, body=detail.encode())
 
 
 @pytest.fixture
-def wire() -> Wire:
-    return Wire()
+def harness() -> Harness:
+    return Harness()
 
 
-def test_request_keeps_target_and_spelling_of_headers(wire) -> None:
-    wire.send(GET)
-    assert wire.requests == [
+def test_request_keeps_target_and_spelling_of_headers(harness) -> None:
+    harness.send(GET)
+    assert harness.requests == [
         HttpRequest("GET", "/a?b=%20c", (("Host", "h"), ("X-OwN", "1")))
     ]
 
 
-def test_request_in_pieces_is_handled_once(wire) -> None:
+def test_request_that_arrives_byte_by_byte_is_handled_once(harness) -> None:
     for byte in GET:
-        wire.send(bytes([byte]))
-    assert len(wire.requests) == 1
+        harness.send(bytes([byte]))
+    assert len(harness.requests) == 1
 
 
-def test_chunked_body_is_whole(wire) -> None:
-    wire.send(b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
-    wire.send(b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
-    assert wire.requests[0].body == b"abcde"
+def test_chunked_body_is_reassembled(harness) -> None:
+    harness.send(b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
+    harness.send(b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
+    assert harness.requests[0].body == b"abcde"
 
 
-def test_answers_keep_the_order_of_pipelined_requests(wire) -> None:
-    wire.send(GET + GET.replace(b"/a", b"/z"))
-    assert len(wire.requests) == 1
-    wire.answers[0].callback(HttpResponse(200, body=b"one"))
-    wire.clock.advance(0)
-    wire.answers[1].callback(HttpResponse(200, body=b"two"))
-    assert wire.written.index(b"one") < wire.written.index(b"two")
+def test_responses_keep_the_order_of_pipelined_requests(harness) -> None:
+    harness.send(GET + GET.replace(b"/a", b"/z"))
+    assert len(harness.requests) == 1
+    harness.answers[0].callback(HttpResponse(200, body=b"one"))
+    harness.clock.advance(0)
+    harness.answers[1].callback(HttpResponse(200, body=b"two"))
+    assert harness.written.index(b"one") < harness.written.index(b"two")
 
 
-def test_work_is_cancelled_when_the_client_leaves(wire) -> None:
-    wire.send(GET)
-    wire.connection.connectionLost(Failure(ConnectionDone()))
-    assert wire.cancelled == 1
+def test_handler_is_cancelled_when_the_client_disconnects(harness) -> None:
+    harness.send(GET)
+    harness.connection.connectionLost(Failure(ConnectionDone()))
+    assert harness.cancelled == 1
 
 
-def test_head_request_gets_no_body(wire) -> None:
-    wire.send(GET.replace(b"GET", b"HEAD"))
-    wire.answers[0].callback(HttpResponse(200, body=b"abc"))
-    assert wire.written.endswith(b"\r\n\r\n")
-    assert b"Content-Length: 3" in wire.written
+def test_response_to_head_has_no_body(harness) -> None:
+    harness.send(GET.replace(b"GET", b"HEAD"))
+    harness.answers[0].callback(HttpResponse(200, body=b"abc"))
+    assert harness.written.endswith(b"\r\n\r\n")
+    assert b"Content-Length: 3" in harness.written
 
 
-def test_last_answer_closes_when_server_is_draining(wire) -> None:
-    wire.send(GET)
-    wire.server.draining = True
-    wire.answers[0].callback(HttpResponse(200))
-    assert b"Connection: close" in wire.written
-    assert wire.transport.disconnecting
+def test_response_closes_the_connection_when_the_server_is_draining(harness) -> None:
+    harness.send(GET)
+    harness.server.draining = True
+    harness.answers[0].callback(HttpResponse(200))
+    assert b"Connection: close" in harness.written
+    assert harness.transport.disconnecting
 
 
-def test_connection_stays_open_for_another_request(wire) -> None:
-    wire.send(GET)
-    wire.answers[0].callback(HttpResponse(200))
-    assert not wire.transport.disconnecting
-    wire.send(GET)
-    assert len(wire.requests) == 2
+def test_connection_stays_open_for_another_request(harness) -> None:
+    harness.send(GET)
+    harness.answers[0].callback(HttpResponse(200))
+    assert not harness.transport.disconnecting
+    harness.send(GET)
+    assert len(harness.requests) == 2
 
 
 @pytest.mark.parametrize(
@@ -125,36 +125,36 @@
         (b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n" + b"a" * 9, b"413"),
     ],
 )
-def test_improper_request_is_answered_and_the_connection_closed(data, status) -> None:
-    wire = Wire(HttpBounds(body_bytes=8))
-    wire.send(data)
-    assert wire.written.startswith(b"HTTP/1.1 " + status)
-    assert wire.transport.disconnecting
-    assert wire.requests == []
+def test_invalid_request_is_answered_and_the_connection_closed(data, status) -> None:
+    harness = Harness(HttpBounds(body_bytes=8))
+    harness.send(data)
+    assert harness.written.startswith(b"HTTP/1.1 " + status)
+    assert harness.transport.disconnecting
+    assert harness.requests == []
 
 
-def test_slow_head_is_answered_with_408(wire) -> None:
-    wire.send(GET[:10])
-    wire.clock.advance(wire.server.bounds.header_timeout_s)
-    assert wire.written.startswith(b"HTTP/1.1 408")
+def test_slow_request_headers_are_answered_with_408(harness) -> None:
+    harness.send(GET[:10])
+    harness.clock.advance(harness.server.bounds.header_timeout_s)
+    assert harness.written.startswith(b"HTTP/1.1 408")
 
 
-def test_idle_connection_is_closed_after_the_bound(wire) -> None:
-    wire.clock.advance(wire.server.bounds.idle_timeout_s - 0.1)
-    assert not wire.transport.disconnecting
-    wire.clock.advance(0.1)
-    assert wire.transport.disconnecting
+def test_idle_connection_is_closed_after_the_idle_timeout(harness) -> None:
+    harness.clock.advance(harness.server.bounds.idle_timeout_s - 0.1)
+    assert not harness.transport.disconnecting
+    harness.clock.advance(0.1)
+    assert harness.transport.disconnecting
 
 
-def test_failed_handler_is_answered_with_500_and_reported(wire) -> None:
-    wire.send(GET)
-    wire.answers[0].errback(ValueError("broken"))
-    assert wire.written.startswith(b"HTTP/1.1 500")
-    assert wire.reports == ["broken"]
+def test_failed_handler_is_answered_with_500_and_reported(harness) -> None:
+    harness.send(GET)
+    harness.answers[0].errback(ValueError("broken"))
+    assert harness.written.startswith(b"HTTP/1.1 500")
+    assert harness.reports == ["broken"]
 
 
-def test_bodies_are_refused_when_memory_is_used_up() -> None:
-    wire = Wire(HttpBounds(buffered_bytes=4))
-    wire.send(b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n" + b"a" * 9)
-    assert wire.written.startswith(b"HTTP/1.1 503")
-    assert wire.server.buffered == 0
+def test_body_is_rejected_when_the_body_buffers_are_full() -> None:
+    harness = Harness(HttpBounds(buffered_bytes=4))
+    harness.send(b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n" + b"a" * 9)
+    assert harness.written.startswith(b"HTTP/1.1 503")
+    assert harness.server.total_body_bytes == 0
