--- a/packages/standins/src/sycamorenotch_standins/__init__.py
+++ b/packages/standins/src/sycamorenotch_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the platform and the upstreams."""
+"""Stand-ins for the platform's store and the upstreams, with fault injection."""
 
 from __future__ import annotations
 
--- a/packages/standins/src/sycamorenotch_standins/_faults.py
+++ b/packages/standins/src/sycamorenotch_standins/_faults.py
@@ -1,4 +1,4 @@
-"""Fault switches of the stand-ins."""
+"""Fault injection in the stand-ins."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 M = TypeVar("M", bound=str)
 
 
-class FaultOrder(BaseModel, Generic[M]):
+class FaultRequest(BaseModel, Generic[M]):
     """Body of ``POST /fault``.
 
-    :param seconds: delay, for the mode ``slow``.
-    :param count: number of requests that the fault strikes; all if absent.
+    :param mode: kind of fault; ``none`` ends the current one.
+    :param seconds: delay in the mode ``slow``.
+    :param count: number of requests that the fault affects; all if absent.
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -33,22 +34,22 @@
     count: int | None = Field(default=None, ge=1)
 
 
-class UpstreamFault(FaultOrder[UpstreamMode]):
+class UpstreamFaultRequest(FaultRequest[UpstreamMode]):
     """A fault of an upstream worker.
 
-    :param path: path of the requests that the fault strikes; all if absent.
+    :param path: path of the requests that the fault affects; all if absent.
     """
 
     path: str | None = None
 
 
-class StoreFaultOrder(FaultOrder[StoreMode]):
+class StoreFaultRequest(FaultRequest[StoreMode]):
     """A fault of the object API."""
 
 
 @final
 class FaultSwitch:
-    """Counts down the requests that a fault strikes."""
+    """Holds the current fault and the number of requests it still affects."""
 
     def __init__(self) -> None:
         self._mode = "none"
@@ -58,20 +59,20 @@
 
     @property
     def mode(self) -> str:
-        """The mode that is set, without striking."""
+        """The current mode; reading it does not count a request."""
         return self._mode
 
     def set(
         self, mode: str, seconds: float, count: int | None, path: str | None = None
     ) -> None:
-        """Replace the fault in force."""
+        """Replace the current fault."""
         self._path = path
         self._mode = mode
         self.seconds = seconds
         self._remaining = count
 
-    def strike(self, path: str | None = None) -> str:
-        """Return the mode for one request and count it.
+    def next_mode(self, path: str | None = None) -> str:
+        """Return the mode that applies to a request and count the request.
 
         :param path: path of the request, if it has one.
         """
@@ -79,8 +80,8 @@
             return "none"
         if self._mode == "none" or self._remaining is None:
             return self._mode
-        struck = self._mode
+        applied = self._mode
         self._remaining -= 1
         if self._remaining <= 0:
             self._mode = "none"
-        return struck
+        return applied
--- a/packages/standins/src/sycamorenotch_standins/_limited_site.py
+++ b/packages/standins/src/sycamorenotch_standins/_limited_site.py
@@ -1,4 +1,4 @@
-"""A web site that accepts a limited number of connections."""
+"""A Twisted Web site with a limit on open connections."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @final
 class LimitedSite(Site):
-    """Closes each connection beyond a limit at once.
+    """Site that closes connections beyond a limit immediately.
 
-    :param connections: open connections that are accepted.
+    :param connections: maximum number of open connections.
     """
 
     def __init__(self, resource: IResource, connections: int) -> None:
@@ -25,17 +25,17 @@
         self.refused = 0
 
     def buildProtocol(self, addr: IAddress | None) -> Any:
-        """Accept a connection, unless too many are open."""
+        """Accept a connection unless the limit is reached."""
         if self.open >= self.connections:
             self.refused += 1
             return None
         self.open += 1
         protocol = super().buildProtocol(addr)
-        lost = protocol.connectionLost
+        original = protocol.connectionLost
 
         def connection_lost(*args: Any) -> None:
             self.open -= 1
-            lost(*args)
+            original(*args)
 
         protocol.connectionLost = connection_lost
         return protocol
--- a/packages/standins/src/sycamorenotch_standins/_memory.py
+++ b/packages/standins/src/sycamorenotch_standins/_memory.py
@@ -26,10 +26,10 @@
 @store_adapters.register("memory")
 @final
 class MemoryStore:
-    """Store adapter over an object table in the same process.
+    """Store adapter on an object table in the same process.
 
-    :param table: the objects, shared by every adapter of a test.
-    :param reactor: schedules watch timeouts.
+    :param table: the objects; several adapters may share a table.
+    :param reactor: schedules the timeouts of watches.
     """
 
     def __init__(self, table: ObjectTable, reactor: IReactorTime) -> None:
@@ -41,24 +41,24 @@
     async def get(
         self, kind: str, name: str, timeout: timedelta
     ) -> Result[StoredObject, StoreError]:
-        """Read one object."""
-        if self.fault.strike() != "none":
+        """Return one object."""
+        if self.fault.next_mode() != "none":
             return _unavailable()
         return self.table.get(kind, name)
 
     async def list(
         self, kind: str, timeout: timedelta
     ) -> Result[tuple[StoredObject, ...], StoreError]:
-        """Read every object of a kind."""
-        if self.fault.strike() != "none":
+        """Return all objects of a kind."""
+        if self.fault.next_mode() != "none":
             return _unavailable()
         return Ok(self.table.list(kind))
 
     async def create(
         self, kind: str, name: str, value: bytes, timeout: timedelta
     ) -> Result[StoredObject, StoreError]:
-        """Write an object that must not exist."""
-        mode = self.fault.strike()
+        """Create an object, or return a conflict if it exists."""
+        mode = self.fault.next_mode()
         if mode == "down":
             return _unavailable()
         result = self.table.create(kind, name, value)
@@ -67,8 +67,8 @@
     async def update(
         self, kind: str, name: str, value: bytes, expected: Version, timeout: timedelta
     ) -> Result[StoredObject, StoreError]:
-        """Replace an object of the expected version."""
-        mode = self.fault.strike()
+        """Replace an object, or return a conflict if its version differs."""
+        mode = self.fault.next_mode()
         if mode == "down":
             return _unavailable()
         result = self.table.update(kind, name, value, expected)
@@ -77,8 +77,8 @@
     async def delete(
         self, kind: str, name: str, expected: Version, timeout: timedelta
     ) -> Result[None, StoreError]:
-        """Remove an object of the expected version."""
-        mode = self.fault.strike()
+        """Delete an object, or return a conflict if its version differs."""
+        mode = self.fault.next_mode()
         if mode == "down":
             return _unavailable()
         result = self.table.delete(kind, name, expected)
@@ -87,36 +87,36 @@
     async def watch(
         self, kind: str, after: Version, timeout: timedelta
     ) -> Result[Changes, StoreError]:
-        """Wait for changes later than a version, or for the timeout."""
-        if self.fault.strike() != "none":
+        """Return the changes after a version, waiting for one until the timeout."""
+        if self.fault.next_mode() != "none":
             return _unavailable()
         if not self.table.changes(kind, after).objects:
-            await self._change_or_timeout(kind, timeout)
+            await self._wait_for_change(kind, timeout)
         return Ok(self.table.changes(kind, after))
 
     async def instances(
         self, timeout: timedelta
     ) -> Result[tuple[ListedInstance, ...], StoreError]:
-        """Read the platform's list of instances."""
-        if self.fault.strike() != "none":
+        """Return the platform's list of instances."""
+        if self.fault.next_mode() != "none":
             return _unavailable()
         return Ok(self.listed)
 
-    async def _change_or_timeout(self, kind: str, timeout: timedelta) -> None:
-        fired: Deferred[None] = Deferred()
+    async def _wait_for_change(self, kind: str, timeout: timedelta) -> None:
+        wake_fut: Deferred[None] = Deferred()
 
-        def fire() -> None:
-            if not fired.called:
-                fired.callback(None)
+        def wake() -> None:
+            if not wake_fut.called:
+                wake_fut.callback(None)
 
-        withdraw = self.table.on_change(kind, fire)
-        call = self._reactor.callLater(timeout.total_seconds(), fire)
+        unsubscribe = self.table.on_change(kind, wake)
+        timer = self._reactor.callLater(timeout.total_seconds(), wake)
         try:
-            await fired
+            await wake_fut
         finally:
-            withdraw()
-            if call.active():
-                call.cancel()
+            unsubscribe()
+            if timer.active():
+                timer.cancel()
 
 
 def _unavailable() -> Result[Any, StoreError]:
--- a/packages/standins/src/sycamorenotch_standins/_objects.py
+++ b/packages/standins/src/sycamorenotch_standins/_objects.py
@@ -1,4 +1,4 @@
-"""Objects with versions, conditional updates and watches, in memory."""
+"""In-memory objects with versions, conditional updates and watches."""
 
 from __future__ import annotations
 
@@ -15,44 +15,44 @@
 from sycamorenotch_kernel import StoreFault
 from sycamorenotch_kernel import Version
 
-MAXIMUM_VALUE_BYTES = 2**20
+MAX_VALUE_BYTES = 2**20
 
-Waiter = Callable[[], None]
+Callback = Callable[[], None]
 
 
 @final
 class ObjectTable:
-    """The state of the stand-in object API.
+    """Objects of the stand-in object API.
 
-    :param first_version: revision before the first write.
+    :param first_version: version before the first write.
     """
 
     def __init__(self, first_version: int = 0) -> None:
         self._objects: dict[tuple[str, str], StoredObject] = {}
         self._version = first_version
-        self._waiters: dict[str, list[Waiter]] = {}
+        self._callbacks: dict[str, list[Callback]] = {}
 
     @property
     def version(self) -> Version:
-        """The revision of the last write."""
+        """The version of the last write."""
         return Version(self._version)
 
     def get(self, kind: str, name: str) -> Result[StoredObject, StoreError]:
-        """Read one object."""
+        """Return one object."""
         found = self._objects.get((kind, name))
         if found is None:
             return Error(StoreError(StoreFault.NOT_FOUND, f"{kind}/{name}"))
         return Ok(found)
 
     def list(self, kind: str) -> tuple[StoredObject, ...]:
-        """Read every object of a kind, by name."""
+        """Return all objects of a kind, sorted by name."""
         objects = (o for (k, _), o in self._objects.items() if k == kind)
         return tuple(sorted(objects, key=lambda stored: stored.name))
 
     def create(
         self, kind: str, name: str, value: bytes
     ) -> Result[StoredObject, StoreError]:
-        """Write an object that must not exist."""
+        """Create an object, or return a conflict if it exists."""
         current = self._objects.get((kind, name))
         if current is not None:
             return Error(StoreError(StoreFault.CONFLICT, "exists", current))
@@ -61,7 +61,7 @@
     def update(
         self, kind: str, name: str, value: bytes, expected: Version
     ) -> Result[StoredObject, StoreError]:
-        """Replace an object of the expected version."""
+        """Replace an object, or return a conflict if its version differs."""
         current = self._objects.get((kind, name))
         if current is None:
             return Error(StoreError(StoreFault.NOT_FOUND, f"{kind}/{name}"))
@@ -72,7 +72,7 @@
     def delete(
         self, kind: str, name: str, expected: Version
     ) -> Result[None, StoreError]:
-        """Remove an object of the expected version."""
+        """Delete an object, or return a conflict if its version differs."""
         current = self._objects.get((kind, name))
         if current is None:
             return Error(StoreError(StoreFault.NOT_FOUND, f"{kind}/{name}"))
@@ -83,34 +83,34 @@
         return Ok(None)
 
     def changes(self, kind: str, after: Version) -> Changes:
-        """Return the objects written after a version."""
+        """Return the objects written after a version, the oldest first."""
         changed = (o for o in self.list(kind) if o.version > after)
         ordered = sorted(changed, key=lambda stored: stored.version)
         return Changes(tuple(ordered), self.version)
 
-    def on_change(self, kind: str, waiter: Waiter) -> Callable[[], None]:
-        """Call a function once at the next write of a kind.
+    def on_change(self, kind: str, callback: Callback) -> Callable[[], None]:
+        """Call a function once, at the next write of a kind.
 
-        :return: function that withdraws the waiter.
+        :return: function that removes the callback.
         """
-        waiters = self._waiters.setdefault(kind, [])
-        waiters.append(waiter)
+        callbacks = self._callbacks.setdefault(kind, [])
+        callbacks.append(callback)
 
-        def withdraw() -> None:
-            if waiter in waiters:
-                waiters.remove(waiter)
+        def unsubscribe() -> None:
+            if callback in callbacks:
+                callbacks.remove(callback)
 
-        return withdraw
+        return unsubscribe
 
     def _write(
         self, kind: str, name: str, value: bytes
     ) -> Result[StoredObject, StoreError]:
-        if len(value) > MAXIMUM_VALUE_BYTES:
+        if len(value) > MAX_VALUE_BYTES:
             return Error(StoreError(StoreFault.UNAVAILABLE, "value too large"))
         self._version += 1
         stored = StoredObject(kind, name, Version(self._version), value)
         self._objects[kind, name] = stored
-        # A waiter withdraws itself from the list while it is called.
-        for waiter in tuple(self._waiters.pop(kind, ())):
-            waiter()
+        # Callbacks may remove themselves while they are called.
+        for callback in tuple(self._callbacks.pop(kind, ())):
+            callback()
         return Ok(stored)
--- a/packages/standins/src/sycamorenotch_standins/_store_api.py
+++ b/packages/standins/src/sycamorenotch_standins/_store_api.py
@@ -1,4 +1,4 @@
-"""The stand-in object API and instance list over HTTP."""
+"""HTTP API of the stand-in object store and instance list."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 from sycamorenotch_kernel import StoreFault
 from sycamorenotch_kernel import Version
 from sycamorenotch_standins._faults import FaultSwitch
-from sycamorenotch_standins._faults import StoreFaultOrder
+from sycamorenotch_standins._faults import StoreFaultRequest
 from sycamorenotch_standins._objects import ObjectTable
 
-MAXIMUM_WATCH_S = 60.0
+MAX_WATCH_S = 60.0
 
 HTTP_STATUS = {
     StoreFault.NOT_FOUND: 404,
@@ -47,10 +47,10 @@
 
 @final
 class StoreApi:
-    """HTTP front of an object table, with its fault switch.
+    """HTTP API of an object table, with fault injection.
 
     :param table: the objects.
-    :param reactor: schedules delays and watch timeouts.
+    :param reactor: schedules delays and the timeouts of watches.
     """
 
     app = Klein()
@@ -74,7 +74,7 @@
     @app.route("/v1/objects/<kind>/<name>", methods=["GET"])
     async def _get(self, req: Request, kind: str, name: str) -> object:
         return await self._serve(
-            req, "get", lambda: _answer(self.table.get(kind, name), 200)
+            req, "get", lambda: _encode_result(self.table.get(kind, name), 200)
         )
 
     @app.route("/v1/objects/<kind>/<name>", methods=["PUT"])
@@ -84,37 +84,37 @@
             return await self._serve(
                 req,
                 "create",
-                lambda: _answer(self.table.create(kind, name, value), 201),
+                lambda: _encode_result(self.table.create(kind, name, value), 201),
             )
-        expected = _expected(req)
+        expected = _expected_version(req)
         if expected is None:
-            return _refuse(req, 428, "If-Match or If-None-Match is required")
+            return _error(req, 428, "If-Match or If-None-Match is required")
         return await self._serve(
             req,
             "update",
-            lambda: _answer(self.table.update(kind, name, value, expected), 200),
+            lambda: _encode_result(self.table.update(kind, name, value, expected), 200),
         )
 
     @app.route("/v1/objects/<kind>/<name>", methods=["DELETE"])
     async def _delete(self, req: Request, kind: str, name: str) -> object:
-        expected = _expected(req)
+        expected = _expected_version(req)
         if expected is None:
-            return _refuse(req, 428, "If-Match is required")
+            return _error(req, 428, "If-Match is required")
         return await self._serve(
             req,
             "delete",
-            lambda: _answer(self.table.delete(kind, name, expected), 200),
+            lambda: _encode_result(self.table.delete(kind, name, expected), 200),
         )
 
     @app.route("/v1/watch/<kind>", methods=["GET"])
     async def _watch(self, req: Request, kind: str) -> object:
         try:
-            after = Version(int(_argument(req, "after", "0")))
-            limit = min(float(_argument(req, "timeout_s", "30")), MAXIMUM_WATCH_S)
+            after = Version(int(_query_param(req, "after", "0")))
+            timeout_s = min(float(_query_param(req, "timeout_s", "30")), MAX_WATCH_S)
         except ValueError:
-            return _refuse(req, 400, "after and timeout_s must be numbers")
+            return _error(req, 400, "after and timeout_s must be numbers")
         if self.fault.mode != "down" and not self.table.changes(kind, after).objects:
-            await self._change_or_timeout(req, kind, limit)
+            await self._wait_for_change(req, kind, timeout_s)
         return await self._serve(req, "watch", lambda: self._changes_body(kind, after))
 
     def _changes_body(self, kind: str, after: Version) -> tuple[int, bytes]:
@@ -123,20 +123,20 @@
         body = {"objects": objects, "version": changes.version}
         return 200, json.dumps(body).encode()
 
-    async def _change_or_timeout(self, req: Request, kind: str, limit: float) -> None:
-        fired: Deferred[None] = Deferred()
+    async def _wait_for_change(self, req: Request, kind: str, timeout_s: float) -> None:
+        wake_fut: Deferred[None] = Deferred()
 
-        def fire(_: object = None) -> None:
-            if not fired.called:
-                fired.callback(None)
+        def wake(_: object = None) -> None:
+            if not wake_fut.called:
+                wake_fut.callback(None)
 
-        withdraw = self.table.on_change(kind, fire)
-        timeout = self._reactor.callLater(limit, fire)
-        req.notifyFinish().addBoth(fire)
-        await fired
-        withdraw()
-        if timeout.active():
-            timeout.cancel()
+        unsubscribe = self.table.on_change(kind, wake)
+        timer = self._reactor.callLater(timeout_s, wake)
+        req.notifyFinish().addBoth(wake)
+        await wake_fut
+        unsubscribe()
+        if timer.active():
+            timer.cancel()
 
     @app.route("/v1/instances", methods=["GET"])
     async def _instances(self, req: Request) -> object:
@@ -154,23 +154,23 @@
     @app.route("/fault", methods=["POST"])
     def _fault(self, req: Request) -> bytes:
         try:
-            order = StoreFaultOrder.model_validate_json(req.content.read())
+            fault_req = StoreFaultRequest.model_validate_json(req.content.read())
         except ValidationError as exc:
-            return _refuse(req, 400, str(exc))
-        self.fault.set(order.mode, order.seconds, order.count)
+            return _error(req, 400, str(exc))
+        self.fault.set(fault_req.mode, fault_req.seconds, fault_req.count)
         req.setHeader("Content-Type", "application/json")
         return b"{}"
 
     async def _serve(
-        self, req: Request, call: str, perform: Callable[[], tuple[int, bytes]]
+        self, req: Request, call: str, handle: Callable[[], tuple[int, bytes]]
     ) -> object:
         self.calls[call] += 1
-        mode = self.fault.strike()
+        mode = self.fault.next_mode()
         if mode == "down":
-            return _refuse(req, 503, "the store is down")
+            return _error(req, 503, "the store is down")
         if mode == "slow":
             await deferLater(self._reactor, self.fault.seconds)
-        status, body = perform()
+        status, body = handle()
         if mode == "lose_answers":
             req.transport.abortConnection()
             return NOT_DONE_YET
@@ -181,7 +181,7 @@
         return body
 
 
-def _answer(result: Result[Any, StoreError], success: int) -> tuple[int, bytes]:
+def _encode_result(result: Result[Any, StoreError], success: int) -> tuple[int, bytes]:
     if result.is_ok():
         stored = result.ok
         body = {} if stored is None else encode_object(stored)
@@ -192,16 +192,16 @@
     return HTTP_STATUS[error.fault], json.dumps(body).encode()
 
 
-def _argument(req: Request, name: str, default: str) -> str:
+def _query_param(req: Request, name: str, default: str) -> str:
     return req.args.get(name.encode(), [default.encode()])[0].decode()
 
 
-def _expected(req: Request) -> Version | None:
+def _expected_version(req: Request) -> Version | None:
     tag = (req.getHeader("If-Match") or "").strip('"')
     return Version(int(tag)) if tag.isascii() and tag.isdigit() else None
 
 
-def _refuse(req: Request, status: int, detail: str) -> bytes:
+def _error(req: Request, status: int, detail: str) -> bytes:
     req.setResponseCode(status)
     req.setHeader("Content-Type", "application/json")
     return json.dumps({"fault": "UNAVAILABLE", "detail": detail}).encode()
--- a/packages/standins/src/sycamorenotch_standins/_upstream.py
+++ b/packages/standins/src/sycamorenotch_standins/_upstream.py
@@ -1,4 +1,4 @@
-"""A stand-in upstream worker over HTTP."""
+"""HTTP server that stands in for an upstream worker."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 from twisted.web.server import NOT_DONE_YET
 
 from sycamorenotch_standins._faults import FaultSwitch
-from sycamorenotch_standins._faults import UpstreamFault
+from sycamorenotch_standins._faults import UpstreamFaultRequest
 
 NOT_RUN_HEADER = "Request-Ran"
-COLD_SLOWDOWN = 4
+# Extra service time right after a start, as a multiple of the usual one.
+COLD_START_SLOWDOWN = 4
 
 
 @final
 class UpstreamWorker:
-    """Runs requests in a limited number of slots.
+    """Worker that runs requests in a limited number of slots.
 
     :param name: name in the environment document.
-    :param slots: requests that run at once; more are shed.
-    :param service_time: time of one request.
-    :param cold_start: time over which a new worker is slower than usual.
+    :param slots: maximum number of concurrent requests; more are shed.
+    :param service_time: duration of one request.
+    :param cold_start: duration after a start in which requests take longer.
     """
 
     app = Klein()
@@ -53,7 +54,7 @@
         self._started_s = reactor.seconds()
 
     def restart(self) -> None:
-        """Start cold again, as a new process does."""
+        """Begin a new cold start, as a restarted process does."""
         self._started_s = self._reactor.seconds()
 
     @app.route("/executions", methods=["GET"])
@@ -72,17 +73,19 @@
     @app.route("/fault", methods=["POST"])
     def _fault(self, req: Request) -> bytes:
         try:
-            order = UpstreamFault.model_validate_json(req.content.read())
+            fault_req = UpstreamFaultRequest.model_validate_json(req.content.read())
         except ValidationError as exc:
             req.setResponseCode(400)
             return str(exc).encode()
-        self.fault.set(order.mode, order.seconds, order.count, order.path)
+        self.fault.set(
+            fault_req.mode, fault_req.seconds, fault_req.count, fault_req.path
+        )
         return _json(req, {})
 
     @app.route("/<path:path>", methods=["GET", "HEAD", "POST", "PUT", "DELETE"])
     async def _run(self, req: Request, path: str) -> object:
         draining = self.fault.mode == "drain"
-        mode = "drain" if draining else self.fault.strike(f"/{path}")
+        mode = "drain" if draining else self.fault.next_mode(f"/{path}")
         if mode in ("shed", "drain") or self.running >= self.slots:
             return self._shed(req)
         self.running += 1
@@ -109,10 +112,10 @@
         self.served += 1
         if req.finished or req._disconnected:
             return NOT_DONE_YET
-        body = self._body(req, path)
-        identifier = req.getHeader("Request-Id")
-        if identifier is not None:
-            req.setHeader("Request-Id", identifier)
+        body = self._build_body(req, path)
+        request_id = req.getHeader("Request-Id")
+        if request_id is not None:
+            req.setHeader("Request-Id", request_id)
         if mode == "cut":
             req.setHeader("Content-Length", str(len(body)))
             req.write(body[: len(body) // 2])
@@ -124,10 +127,12 @@
     def _service_time_s(self) -> float:
         age_s = self._reactor.seconds() - self._started_s
         cold_s = self._cold_start.total_seconds()
-        coldness = max(0.0, 1 - age_s / cold_s) if cold_s else 0.0
-        return self.service_time.total_seconds() * (1 + COLD_SLOWDOWN * coldness)
+        cold_share = max(0.0, 1 - age_s / cold_s) if cold_s else 0.0
+        return self.service_time.total_seconds() * (
+            1 + COLD_START_SLOWDOWN * cold_share
+        )
 
-    def _body(self, req: Request, path: str) -> bytes:
+    def _build_body(self, req: Request, path: str) -> bytes:
         answer = {
             "worker": self.name,
             "method": req.method.decode(),
--- a/packages/standins/src/sycamorenotch_standins/serve.py
+++ b/packages/standins/src/sycamorenotch_standins/serve.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in as a process of its own."""
+"""Runs a stand-in as a separate process."""
 
 from __future__ import annotations
 
@@ -19,18 +19,20 @@
 
 LOOPBACK = "127.0.0.1"
 
-ROLE = flags.DEFINE_enum("role", "store", ["store", "upstream"], "What to run.")
-PORT = flags.DEFINE_integer("port", 0, "Port on loopback; 0 takes a free one.")
+ROLE = flags.DEFINE_enum("role", "store", ["store", "upstream"], "Stand-in to run.")
+PORT = flags.DEFINE_integer(
+    "port", 0, "Port on the loopback interface; 0 for a free one."
+)
 NAME = flags.DEFINE_string("name", "worker-1", "Name of the upstream worker.")
-SLOTS = flags.DEFINE_integer("slots", 4, "Requests that the worker runs at once.")
-SERVICE_TIME_MS = flags.DEFINE_float("service_time_ms", 5.0, "Time of one request.")
+SLOTS = flags.DEFINE_integer("slots", 4, "Concurrent requests of the worker.")
+SERVICE_TIME_MS = flags.DEFINE_float("service_time_ms", 5.0, "Duration of one request.")
 INSTANCES = flags.DEFINE_string(
-    "instances", "[]", "JSON list of entries of the instance list."
+    "instances", "[]", "Entries of the instance list, as a JSON list."
 )
 
 
 def main() -> None:
-    """Run the stand-in until it is told to stop."""
+    """Run the stand-in until the process is terminated."""
     app.run(_run)
 
 
