--- a/packages/cli/src/sycamorenotch_cli/_burn_merge.py
+++ b/packages/cli/src/sycamorenotch_cli/_burn_merge.py
@@ -1,4 +1,4 @@
-"""Merges what the instances recorded for each service-level objective."""
+"""Merges the counts that instances recorded for service-level objectives."""
 
 from __future__ import annotations
 
@@ -26,8 +26,12 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class MergedSpender:
-    """A cause that spent error budget, over all instances."""
+class MergedBurnCause:
+    """A kind of failure that spent error budget, over all instances.
+
+    :param count: requests that spent budget.
+    :param decisions: identifiers of the newest of their decisions.
+    """
 
     kind: str
     count: int
@@ -37,10 +41,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class MergedObjective:
-    """One objective over all instances that answered.
+    """An objective over all instances that responded.
 
-    :param latency_s: limit of a good answer, in seconds.
-    :param percentiles: latencies since the instances' start, in milliseconds.
+    :param latency_s: latency objective, in seconds.
+    :param percentiles: latencies since the instances started, in milliseconds.
     """
 
     service: str
@@ -49,11 +53,11 @@
     latency_s: float
     counts: dict[BurnWindow, BurnCounts]
     percentiles: dict[float, float]
-    spenders: tuple[MergedSpender, ...]
+    burn_causes: tuple[MergedBurnCause, ...]
 
     @property
     def name(self) -> str:
-        """Service and rank, for people."""
+        """Display name of the objective."""
         return f"{self.service} {self.rank}"
 
     @property
@@ -63,55 +67,55 @@
 
     @property
     def budget_left(self) -> float:
-        """Unspent share of the budget of the longest window."""
+        """Unspent share of the error budget in the longest window."""
         return self.target.budget_left(self.counts[BurnWindow.THREE_DAYS])
 
     @property
     def alarms(self) -> tuple[BurnAlarm, ...]:
-        """Alarms that are raised."""
+        """Alarms that are raised by the merged counts."""
         return raised_alarms(self.target, self.counts)
 
 
 def merge(answers: Iterable[BurnModel]) -> tuple[MergedObjective, ...]:
-    """Return each objective, with the counts of all instances together."""
+    """Return each objective with the summed counts of all instances."""
     grouped: dict[tuple[str, str], list[ObjectiveModel]] = {}
     for item in chain.from_iterable(answer.objectives for answer in answers):
         grouped.setdefault((item.service, item.rank), []).append(item)
-    return tuple(_merge_one(parts) for parts in grouped.values())
+    return tuple(_merge_objective(parts) for parts in grouped.values())
 
 
-def _merge_one(parts: list[ObjectiveModel]) -> MergedObjective:
+def _merge_objective(parts: list[ObjectiveModel]) -> MergedObjective:
     first = parts[0]
     return MergedObjective(
         service=first.service,
         rank=first.rank,
         target=BurnTarget(first.availability, first.latency_share),
         latency_s=first.latency_s,
-        counts={window: _counts(parts, window) for window in BurnWindow},
-        percentiles=_percentiles([part.histogram for part in parts]),
-        spenders=_spenders(parts),
+        counts={window: _sum_counts(parts, window) for window in BurnWindow},
+        percentiles=_merge_percentiles([part.histogram for part in parts]),
+        burn_causes=_merge_burn_causes(parts),
     )
 
 
-def _counts(parts: list[ObjectiveModel], window: BurnWindow) -> BurnCounts:
+def _sum_counts(parts: list[ObjectiveModel], window: BurnWindow) -> BurnCounts:
     found = (part.windows[window] for part in parts)
     return reduce(add, (BurnCounts(**c.model_dump()) for c in found), BurnCounts())
 
 
-def _percentiles(encoded: list[str]) -> dict[float, float]:
+def _merge_percentiles(encoded: list[str]) -> dict[float, float]:
     merged = HdrHistogram.decode(encoded[0])
     for other in encoded[1:]:
         merged.decode_and_add(other)
     return {p: float(merged.get_value_at_percentile(p)) for p in PERCENTILES}
 
 
-def _spenders(parts: list[ObjectiveModel]) -> tuple[MergedSpender, ...]:
-    found = [spender for part in parts for spender in part.spent]
+def _merge_burn_causes(parts: list[ObjectiveModel]) -> tuple[MergedBurnCause, ...]:
+    found = [burn_cause for part in parts for burn_cause in part.spent]
     counts: Counter[str] = Counter()
-    for spender in found:
-        counts[spender.kind] += spender.count
+    for burn_cause in found:
+        counts[burn_cause.kind] += burn_cause.count
     return tuple(
-        MergedSpender(
+        MergedBurnCause(
             kind,
             count,
             tuple(d for s in found if s.kind == kind for d in s.decisions)[
--- a/packages/cli/src/sycamorenotch_cli/_burn_page.py
+++ b/packages/cli/src/sycamorenotch_cli/_burn_page.py
@@ -1,4 +1,4 @@
-"""The report on service-level burn as one HTML page with charts."""
+"""Service-level burn report as an HTML page with charts."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 def render_page(objectives: tuple[MergedObjective, ...], summary: str) -> str:
-    """Return a page that loads nothing from anywhere.
+    """Return a self-contained page without external resources.
 
-    :param summary: which instances answered.
+    :param summary: text on which instances responded.
     """
     return "\n".join(
         [
@@ -36,10 +36,10 @@
             _rates_table(objectives),
             "<h2>Burn rate</h2>",
             _chart(lambda axes: _draw_rates(axes, objectives)),
-            "<h2>Latency since the instances' start</h2>",
+            "<h2>Latency since the start of the instances</h2>",
             _chart(lambda axes: _draw_latencies(axes, objectives)),
-            "<h2>What spent the budget</h2>",
-            _spenders_table(objectives),
+            "<h2>Spent error budget by kind</h2>",
+            _burn_causes_table(objectives),
             "</body></html>",
         ]
     )
@@ -59,11 +59,11 @@
     return _table(head, rows)
 
 
-def _spenders_table(objectives: tuple[MergedObjective, ...]) -> str:
+def _burn_causes_table(objectives: tuple[MergedObjective, ...]) -> str:
     rows = [
-        (item.name, spender.kind, spender.count, ", ".join(spender.decisions))
+        (item.name, burn_cause.kind, burn_cause.count, ", ".join(burn_cause.decisions))
         for item in objectives
-        for spender in item.spenders
+        for burn_cause in item.burn_causes
     ]
     return _table(("objective", "kind", "requests", "newest decisions"), rows)
 
@@ -82,7 +82,7 @@
     from matplotlib import rc_context
     from matplotlib.figure import Figure
 
-    # A fixed salt makes the same report the same file.
+    # A fixed salt makes the output reproducible.
     with rc_context({"svg.hashsalt": "sycamorenotch"}):
         figure = Figure(figsize=CHART_SIZE_IN, layout="constrained")
         draw(figure.subplots())
@@ -112,8 +112,8 @@
     width = GROUP_WIDTH / len(groups)
     for index, (label, values) in enumerate(groups.items()):
         shown = [value if value < float("inf") else 0.0 for value in values]
-        places = [place + index * width for place in range(len(names))]
-        axes.bar(places, shown, width, label=label)
+        positions = [position + index * width for position in range(len(names))]
+        axes.bar(positions, shown, width, label=label)
     centre = (GROUP_WIDTH - width) / 2
-    axes.set_xticks([place + centre for place in range(len(names))], names)
+    axes.set_xticks([position + centre for position in range(len(names))], names)
     axes.legend()
--- a/packages/cli/src/sycamorenotch_cli/_burn_report.py
+++ b/packages/cli/src/sycamorenotch_cli/_burn_report.py
@@ -1,4 +1,4 @@
-"""The report on service-level burn."""
+"""Service-level burn report."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from sycamorenotch_cli._commands import ExitCode
 from sycamorenotch_cli._commands import Invocation
 from sycamorenotch_cli._commands import Outcome
-from sycamorenotch_cli._commands import refused
-from sycamorenotch_cli._fleet import ask_fleet
+from sycamorenotch_cli._commands import error_outcome
+from sycamorenotch_cli._fleet import query_fleet
 from sycamorenotch_cli._messages import BurnModel
 from sycamorenotch_cli._tables import table
 from sycamorenotch_kernel import BurnWindow
@@ -19,10 +19,10 @@
 
 @reports.register("burn")
 async def report_burn(invocation: Invocation) -> Outcome:
-    """Report the burn of every objective over all instances."""
-    found = await ask_fleet(invocation.connect(), "/v1/burn", BurnModel)
+    """Report the burn rates of all objectives over all instances."""
+    found = await query_fleet(invocation.connect(), "/v1/burn", BurnModel)
     if found.is_error():
-        return refused(found.error)
+        return error_outcome(found.error)
     objectives, summary = merge(found.ok.answers.values()), found.ok.summary
     code = ExitCode.PARTIAL if found.ok.missing else ExitCode.OK
     data = {
@@ -39,7 +39,8 @@
 def _write_page(
     path: str, objectives: tuple[MergedObjective, ...], outcome: Outcome, summary: str
 ) -> Outcome:
-    # The plotting library takes longer to import than any other command runs.
+    # Imported here because the plotting library takes longer to load than any
+    # other command takes to run.
     from sycamorenotch_cli._burn_page import render_page
 
     try:
@@ -54,11 +55,11 @@
     windows = [window.value for window in BurnWindow]
     head = ("objective", "requests", *windows, "budget left", "p50", "p99", "alarms")
     blocks = [
-        "Burn rate by window; at 1 the error budget lasts exactly its 3 days.",
+        "Burn rate by window; a rate of 1 spends the error budget in exactly 3 days.",
         "",
         table(head, map(_row, objectives)),
         "",
-        *_spender_lines(objectives),
+        *_burn_cause_lines(objectives),
         summary,
     ]
     return "\n".join(blocks)
@@ -76,11 +77,11 @@
     )
 
 
-def _spender_lines(objectives: tuple[MergedObjective, ...]) -> list[str]:
+def _burn_cause_lines(objectives: tuple[MergedObjective, ...]) -> list[str]:
     rows = [
-        (item.name, spender.kind, spender.count, " ".join(spender.decisions))
+        (item.name, burn_cause.kind, burn_cause.count, " ".join(burn_cause.decisions))
         for item in objectives
-        for spender in item.spenders
+        for burn_cause in item.burn_causes
     ]
     if not rows:
         return ["No request has spent error budget.", ""]
@@ -109,11 +110,11 @@
         "alarms": [alarm.value for alarm in item.alarms],
         "spent": [
             {"kind": s.kind, "count": s.count, "decisions": s.decisions}
-            for s in item.spenders
+            for s in item.burn_causes
         ],
     }
 
 
 def _finite(value: float) -> float | None:
-    """Return a number that JSON can hold; none for a budget of zero."""
+    """Return a number for JSON, or None if it is infinite."""
     return None if abs(value) == float("inf") else round(value, 6)
--- a/packages/cli/src/sycamorenotch_cli/_client.py
+++ b/packages/cli/src/sycamorenotch_cli/_client.py
@@ -1,4 +1,4 @@
-"""Client of the operators' interface."""
+"""HTTP client of the operators' API."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Refusal:
-    """Why a request has no regular answer.
+class ApiError:
+    """Error response, or failure to get a valid response.
 
-    :param kind: error kind, empty if the instance gave no answer.
-    :param unreachable: whether the instance could not be asked at all.
+    :param kind: error kind, or empty if there was no valid response.
+    :param unreachable: whether there was no valid response.
     """
 
     kind: str
@@ -43,11 +43,12 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Change:
-    """What a write states about itself.
+class ChangeMetadata:
+    """Metadata of a write, sent as headers.
 
-    :param expected: generation that the write is based on.
-    :param source: environment and generation that are copied.
+    :param author: name recorded in the history.
+    :param expected: generation that the write replaces, or None for a new document.
+    :param source: environment and generation of a copied document.
     """
 
     author: str
@@ -55,7 +56,7 @@
     source: str = ""
 
     def headers(self) -> dict[str, str]:
-        """Return the header form."""
+        """Return the request headers, without empty ones."""
         headers = {"Author": self.author, "Copied-From": self.source}
         if self.expected is not None:
             headers["If-Match"] = f'"{self.expected}"'
@@ -64,11 +65,11 @@
 
 @final
 class OperatorsClient:
-    """Speaks to the operators' listener of one instance.
+    """Client of the operators' listener of one instance.
 
     :param url: base URL of the listener.
     :param token: bearer token.
-    :param timeout: limit of one request.
+    :param timeout: timeout of one request.
     """
 
     def __init__(
@@ -79,18 +80,26 @@
         self._timeout = timeout
 
     def peer(self, address: str) -> OperatorsClient:
-        """Return a client of another instance with the same token."""
+        """Return a client of another instance, with the same token.
+
+        :param address: ``IP:port`` of its operators' listener.
+        """
         scheme = self.url.partition("://")[0]
         return OperatorsClient(f"{scheme}://{address}", self._token, PEER_TIMEOUT)
 
-    async def get(self, path: str, model: type[M]) -> Result[M, Refusal]:
-        """Read something."""
+    async def get(self, path: str, model: type[M]) -> Result[M, ApiError]:
+        """Send a GET request and validate the response."""
         return await self._request("GET", path, model, {}, None)
 
     async def send(
-        self, method: str, path: str, model: type[M], change: Change, body: bytes = b""
-    ) -> Result[M, Refusal]:
-        """Change something."""
+        self,
+        method: str,
+        path: str,
+        model: type[M],
+        change: ChangeMetadata,
+        body: bytes = b"",
+    ) -> Result[M, ApiError]:
+        """Send a write request and validate the response."""
         return await self._request(method, path, model, change.headers(), body)
 
     async def _request(
@@ -100,7 +109,7 @@
         model: type[M],
         headers: dict[str, str],
         body: bytes | None,
-    ) -> Result[M, Refusal]:
+    ) -> Result[M, ApiError]:
         try:
             response = await treq.request(
                 method,
@@ -112,12 +121,12 @@
             content = await treq.content(response)
         except Exception as exc:
             detail = f"{self.url} cannot be reached: {type(exc).__name__}: {exc}"
-            return Error(Refusal("", "", detail, unreachable=True))
+            return Error(ApiError("", "", detail, unreachable=True))
         try:
             if response.code < 300:
                 return Ok(model.model_validate_json(content))
             problem = _ProblemModel.model_validate_json(content)
         except ValidationError:
-            detail = f"{self.url} answered {response.code} in an unknown form"
-            return Error(Refusal("", "", detail, unreachable=True))
-        return Error(Refusal(problem.kind, problem.title, problem.detail))
+            detail = f"{self.url} answered {response.code} in an unknown format"
+            return Error(ApiError("", "", detail, unreachable=True))
+        return Error(ApiError(problem.kind, problem.title, problem.detail))
--- a/packages/cli/src/sycamorenotch_cli/_commands.py
+++ b/packages/cli/src/sycamorenotch_cli/_commands.py
@@ -1,4 +1,4 @@
-"""The command interface and its registration."""
+"""Command interface and command registration."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from typing import Any
 from typing import final
 
+from sycamorenotch_cli._client import ApiError
 from sycamorenotch_cli._client import OperatorsClient
-from sycamorenotch_cli._client import Refusal
 from sycamorenotch_kernel import ErrorKind
 from sycamorenotch_kernel import commands
 
@@ -34,7 +34,7 @@
     INTERNAL = 9
 
 
-EXIT_CODES = {
+EXIT_CODE_BY_ERROR = {
     ErrorKind.INVALID_DOCUMENT: ExitCode.INVALID,
     ErrorKind.CONFLICT: ExitCode.CONFLICT,
     ErrorKind.UNAUTHORIZED: ExitCode.UNAUTHORIZED,
@@ -45,10 +45,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a command gives back.
+    """Result of a command.
 
-    :param text: for a terminal.
-    :param data: for ``--format json``.
+    :param text: output for ``--format text``.
+    :param data: output for ``--format json``.
     """
 
     code: ExitCode
@@ -59,17 +59,18 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Flags that commands read.
-
-    :param author: name for the history.
-    :param expect: generation that the operator saw, if stated.
-    :param wait: whether to wait until a change is in force everywhere.
-    :param wait_limit: longest time to wait.
-    :param source: environment that a promotion copies.
-    :param target: environment that a promotion writes.
-    :param undo: whether a drain is undone.
-    :param output: file for an HTML report, if one is wanted.
-    :param logs: log files of gateways to read in place of asking instances.
+    """Values of the command-line flags.
+
+    :param author: name recorded in the history.
+    :param expect: generation that the write must replace; by default the newest.
+    :param wait: whether to wait until a change is in force on every instance.
+    :param wait_limit: maximum time to wait.
+    :param source: environment that a promotion copies from.
+    :param target: environment that a promotion copies to.
+    :param environment: environment in which a drain applies.
+    :param undo: whether to end a drain.
+    :param output: path of an HTML report; empty for none.
+    :param logs: gateway log files to read instead of querying instances.
     """
 
     author: str = ""
@@ -87,9 +88,9 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Invocation:
-    """Arguments and services of one command.
+    """Arguments and dependencies of a command.
 
-    :param connect: returns a client of the operators' interface.
+    :param connect: returns a client of the operators' API.
     """
 
     args: tuple[str, ...]
@@ -106,10 +107,9 @@
 class Command:
     """A registered command.
 
-    :param usage: arguments after the command's name; one that is optional
-        stands in brackets.
+    :param usage: arguments after the command's name, optional ones in brackets.
     :param summary: one sentence.
-    :param example: a whole command line.
+    :param example: complete command line.
     """
 
     run: CommandFunction
@@ -118,7 +118,7 @@
     example: str
 
     def accepts(self, count: int) -> bool:
-        """Return whether the command takes this number of arguments."""
+        """Return whether the command accepts a number of arguments."""
         words = self.usage.split()
         required = sum(not word.startswith("[") for word in words)
         return required <= count <= len(words)
@@ -137,11 +137,11 @@
     return decorate
 
 
-def refused(refusal: Refusal) -> Outcome:
-    """Return the outcome of a request that was not accepted."""
-    data = {"error": refusal.kind, "detail": refusal.detail}
-    if refusal.unreachable:
-        return Outcome(ExitCode.UNREACHABLE, refusal.detail, data)
-    known = {kind.value: code for kind, code in EXIT_CODES.items()}
-    code = known.get(refusal.kind, ExitCode.REFUSED)
-    return Outcome(code, f"{refusal.title}: {refusal.detail}", data)
+def error_outcome(api_error: ApiError) -> Outcome:
+    """Return the outcome of a request that failed."""
+    data = {"error": api_error.kind, "detail": api_error.detail}
+    if api_error.unreachable:
+        return Outcome(ExitCode.UNREACHABLE, api_error.detail, data)
+    known = {kind.value: code for kind, code in EXIT_CODE_BY_ERROR.items()}
+    code = known.get(api_error.kind, ExitCode.REFUSED)
+    return Outcome(code, f"{api_error.title}: {api_error.detail}", data)
--- a/packages/cli/src/sycamorenotch_cli/_documents.py
+++ b/packages/cli/src/sycamorenotch_cli/_documents.py
@@ -1,4 +1,4 @@
-"""Commands that check, compare and write environment documents."""
+"""Commands that check, compare, show and write environment documents."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from expression import Ok
 from expression import Result
 
-from sycamorenotch_cli._client import Change
+from sycamorenotch_cli._client import ApiError
+from sycamorenotch_cli._client import ChangeMetadata
 from sycamorenotch_cli._client import OperatorsClient
-from sycamorenotch_cli._client import Refusal
 from sycamorenotch_cli._commands import ExitCode
 from sycamorenotch_cli._commands import Invocation
 from sycamorenotch_cli._commands import Outcome
 from sycamorenotch_cli._commands import command
-from sycamorenotch_cli._commands import refused
+from sycamorenotch_cli._commands import error_outcome
 from sycamorenotch_cli._messages import DocumentModel
 from sycamorenotch_cli._waiting import wait_in_force
 from sycamorenotch_documents import InvalidFileError
@@ -31,7 +31,7 @@
     "sycamorenotch check examples/vatukoula.ini",
 )
 async def check(invocation: Invocation) -> Outcome:
-    """Check a document without sending it anywhere."""
+    """Check a document locally."""
     (path,) = invocation.args
     read = _read(path)
     if read.is_error():
@@ -49,7 +49,7 @@
 @command(
     "diff",
     "ENVIRONMENT FILE_OR_ENVIRONMENT",
-    "Show the difference between a stored document and a file or another one.",
+    "Compare a stored document with a file or with another stored document.",
     "sycamorenotch diff production trial",
 )
 async def diff(invocation: Invocation) -> Outcome:
@@ -58,7 +58,7 @@
     client = invocation.connect()
     stored = await _document(client, name)
     if stored.is_error():
-        return refused(stored.error)
+        return error_outcome(stored.error)
     if Path(other).exists():
         read = _read(other)
         if read.is_error():
@@ -67,7 +67,7 @@
     else:
         found = await _document(client, other)
         if found.is_error():
-            return refused(found.error)
+            return error_outcome(found.error)
         text, label = found.ok.text, _label(found.ok)
     lines = _difference(stored.ok.text, text, _label(stored.ok), label)
     data = {"generation": stored.ok.generation, "difference": lines}
@@ -77,7 +77,7 @@
 @command(
     "show",
     "ENVIRONMENT",
-    "Show the newest document of an environment; the JSON form says who wrote it.",
+    "Show the newest document of an environment; JSON output includes its author.",
     "sycamorenotch show production",
 )
 async def show(invocation: Invocation) -> Outcome:
@@ -85,8 +85,8 @@
     (name,) = invocation.args
     found = await _document(invocation.connect(), name)
     if found.is_error():
-        return refused(found.error)
-    # The text alone, so that it can be written to a file and applied again.
+        return error_outcome(found.error)
+    # Only the document, so that the output can be saved and applied again.
     text = found.ok.text.rstrip("\n")
     return Outcome(ExitCode.OK, text, found.ok.model_dump(mode="json"))
 
@@ -94,7 +94,7 @@
 @command(
     "apply",
     "ENVIRONMENT FILE",
-    "Store a document as an environment's newest, unless it changed meanwhile.",
+    "Store a new document of an environment, unless it was changed concurrently.",
     "sycamorenotch apply production examples/vatukoula.ini --wait",
 )
 async def apply(invocation: Invocation) -> Outcome:
@@ -117,11 +117,11 @@
     "sycamorenotch promote --from trial --to production --wait",
 )
 async def promote(invocation: Invocation) -> Outcome:
-    """Copy a document and name the generation that is copied."""
+    """Copy a document and record the generation it is copied from."""
     options = invocation.options
     found = await _document(invocation.connect(), options.source)
     if found.is_error():
-        return refused(found.error)
+        return error_outcome(found.error)
     source = f"{options.source} generation {found.ok.generation}"
     return await _write(invocation, options.target, found.ok.text, source)
 
@@ -130,12 +130,12 @@
     client, options = invocation.connect(), invocation.options
     expected = await _expected(client, name, options.expect)
     if expected.is_error():
-        return refused(expected.error)
-    change = Change(options.author, expected.ok, source)
+        return error_outcome(expected.error)
+    change = ChangeMetadata(options.author, expected.ok, source)
     path = f"/v1/documents/{name}"
     written = await client.send("PUT", path, DocumentModel, change, text.encode())
     if written.is_error():
-        return await _lost(client, name, text, written.error)
+        return await _conflict_outcome(client, name, text, written.error)
     generation = written.ok.generation
     copied = f", copied from {source}" if source else ""
     head = f"{name} is at generation {generation}{copied}"
@@ -149,7 +149,7 @@
 
 async def _expected(
     client: OperatorsClient, name: str, stated: int | None
-) -> Result[int | None, Refusal]:
+) -> Result[int | None, ApiError]:
     if stated is not None:
         return Ok(stated)
     found = await _document(client, name)
@@ -160,26 +160,26 @@
     return Error(found.error)
 
 
-async def _lost(
-    client: OperatorsClient, name: str, text: str, refusal: Refusal
+async def _conflict_outcome(
+    client: OperatorsClient, name: str, text: str, api_error: ApiError
 ) -> Outcome:
-    """Tell the loser of a race who won and what differs."""
-    outcome = refused(refusal)
+    """Add the newest document and a diff to the outcome of a conflicting write."""
+    outcome = error_outcome(api_error)
     if outcome.code is not ExitCode.CONFLICT:
         return outcome
     found = await _document(client, name)
     if found.is_error():
         return outcome
     lines = _difference(found.ok.text, text, _label(found.ok), "yours, not stored")
-    shown = "\n".join([outcome.text, *(lines or ["the texts do not differ"])])
+    shown = "\n".join([outcome.text, *(lines or ["the documents do not differ"])])
     data = {**found.ok.model_dump(mode="json"), "difference": lines}
     del data["text"]
-    return Outcome(outcome.code, shown, {"error": refusal.kind, "winner": data})
+    return Outcome(outcome.code, shown, {"error": api_error.kind, "winner": data})
 
 
 async def _document(
     client: OperatorsClient, name: str
-) -> Result[DocumentModel, Refusal]:
+) -> Result[DocumentModel, ApiError]:
     return await client.get(f"/v1/documents/{name}", DocumentModel)
 
 
--- a/packages/cli/src/sycamorenotch_cli/_explain.py
+++ b/packages/cli/src/sycamorenotch_cli/_explain.py
@@ -1,4 +1,4 @@
-"""The command that tells what was decided and why."""
+"""Command that explains a decision, or the outcome of a request."""
 
 from __future__ import annotations
 
@@ -8,62 +8,62 @@
 from sycamorenotch_cli._commands import Invocation
 from sycamorenotch_cli._commands import Outcome
 from sycamorenotch_cli._commands import command
-from sycamorenotch_cli._commands import refused
-from sycamorenotch_cli._fleet import ask_fleet
+from sycamorenotch_cli._commands import error_outcome
+from sycamorenotch_cli._fleet import query_fleet
 from sycamorenotch_cli._history import format_time
-from sycamorenotch_cli._log_causes import cause_of
-from sycamorenotch_cli._log_causes import tell
-from sycamorenotch_cli._log_lines import read_logs
+from sycamorenotch_cli._log_parser import read_logs
 from sycamorenotch_cli._messages import DecisionModel
+from sycamorenotch_cli._request_trace import describe_cause
+from sycamorenotch_cli._request_trace import trace_request
 
 
 @command(
     "explain",
     "ID",
-    "Tell what was decided, from which inputs, and under which generation.",
+    "Explain a decision: its outcome, reasons, inputs and generation.",
     "sycamorenotch explain d-0123456789abcdef0123",
 )
 async def explain(invocation: Invocation) -> Outcome:
-    """Ask every instance for the record of a decision, or read it from logs."""
+    """Query all instances for a decision's record, or read gateway logs."""
     (decision,) = invocation.args
     if invocation.options.logs:
-        return _from_logs(decision, invocation.options.logs)
+        return _explain_from_logs(decision, invocation.options.logs)
     path = f"/v1/decisions/{decision}"
-    found = await ask_fleet(invocation.connect(), path, DecisionModel)
+    found = await query_fleet(invocation.connect(), path, DecisionModel)
     if found.is_error():
-        return refused(found.error)
+        return error_outcome(found.error)
     if not found.ok.answers:
         detail = f"no instance keeps a record of {decision}; {found.ok.summary}"
         code = ExitCode.PARTIAL if found.ok.missing else ExitCode.NOT_FOUND
         return Outcome(code, detail, {"error": detail, "missing": found.ok.missing})
     instance, record = next(iter(found.ok.answers.items()))
     data = {"instance": instance, **record.model_dump(mode="json")}
-    return Outcome(ExitCode.OK, _in_words(instance, record), data)
+    return Outcome(ExitCode.OK, _format_record(instance, record), data)
 
 
-def _from_logs(request: str, paths: tuple[str, ...]) -> Outcome:
+def _explain_from_logs(request: str, paths: tuple[str, ...]) -> Outcome:
     try:
-        story = tell(read_logs(paths), request)
+        trace = trace_request(read_logs(paths), request)
     except OSError as exc:
-        detail = f"a log cannot be read: {exc}"
+        detail = f"a log file cannot be read: {exc}"
         return Outcome(ExitCode.USAGE, detail, {"error": detail})
-    cause = cause_of(story)
-    own = (*story.attempts, *([] if story.last is None else [story.last]))
+    cause = describe_cause(trace)
+    own = (*trace.attempts, *([] if trace.outcome is None else [trace.outcome]))
     lines = [f"Request {request}", f"Cause: {cause}", "Decisions:"]
     lines += [f"  {line}" for line in own]
-    if story.context:
-        lines += ["Shortly before:", *(f"  {line}" for line in story.context)]
+    if trace.context:
+        lines += ["Shortly before:", *(f"  {line}" for line in trace.context)]
     data = {
         "request": request,
         "cause": cause,
         "decisions": [asdict(line) for line in own],
-        "context": [asdict(line) for line in story.context],
+        "context": [asdict(line) for line in trace.context],
     }
     code = ExitCode.OK if own else ExitCode.NOT_FOUND
     return Outcome(code, "\n".join(lines), data)
 
 
-def _in_words(instance: str, record: DecisionModel) -> str:
+def _format_record(instance: str, record: DecisionModel) -> str:
     lines = [
         f"Decision {record.id} was about: {record.kind}.",
         f"It was made on instance {instance} at {format_time(record.at)},",
--- a/packages/cli/src/sycamorenotch_cli/_fleet.py
+++ b/packages/cli/src/sycamorenotch_cli/_fleet.py
@@ -1,4 +1,4 @@
-"""Asks every instance of the fleet the same question."""
+"""Sends a request to every instance of the fleet."""
 
 from __future__ import annotations
 
@@ -15,69 +15,72 @@
 from twisted.internet.defer import DeferredSemaphore
 from twisted.internet.defer import gatherResults
 
+from sycamorenotch_cli._client import ApiError
 from sycamorenotch_cli._client import OperatorsClient
-from sycamorenotch_cli._client import Refusal
 from sycamorenotch_cli._messages import InstanceModel
 from sycamorenotch_cli._messages import StatusModel
 
-CONCURRENT_REQUESTS = 64
+MAX_CONCURRENT_REQUESTS = 64
 
 M = TypeVar("M", bound=BaseModel)
 
 
 @final
 @dataclass(frozen=True, slots=True)
-class FleetAnswers(Generic[M]):
-    """What the instances answered.
+class FleetResponses(Generic[M]):
+    """Responses of the instances.
 
-    :param listed: every instance that the first one knows.
-    :param answers: the answers by instance.
-    :param refusals: why the others have none, by instance.
+    :param listed: the instance list of the first instance.
+    :param answers: responses by instance.
+    :param errors: errors of the other instances, by instance.
     """
 
     listed: tuple[InstanceModel, ...]
     answers: dict[str, M]
-    refusals: dict[str, Refusal]
+    errors: dict[str, ApiError]
 
     @property
     def missing(self) -> tuple[str, ...]:
-        """Instances that could not be asked."""
-        return tuple(n for n, r in self.refusals.items() if r.unreachable)
+        """Instances that could not be reached."""
+        return tuple(n for n, r in self.errors.items() if r.unreachable)
 
     @property
     def summary(self) -> str:
-        """How many instances answered, for people."""
+        """Sentence on how many instances responded, for display."""
         count = len(self.listed) - len(self.missing)
         text = f"{count} of {len(self.listed)} instances answered"
-        named = ", ".join(self.missing)
-        return f"{text}; missing: {named}" if named else text
+        missing = ", ".join(self.missing)
+        return f"{text}; missing: {missing}" if missing else text
 
 
-async def ask_fleet(
+async def query_fleet(
     client: OperatorsClient, path: str, model: type[M]
-) -> Result[FleetAnswers[M], Refusal]:
-    """Ask each instance that the first one lists, many at once.
+) -> Result[FleetResponses[M], ApiError]:
+    """Send a GET request to each instance that the first one lists, concurrently.
 
-    :return: the refusal of the first instance if it cannot list the others.
+    :param client: client of the first instance.
+    :return: the responses, or an error if the first instance cannot list the others.
     """
     status = await client.get("/v1/status", StatusModel)
     if status.is_error():
         return Error(status.error)
-    me, listed = status.ok.instance, status.ok.instances
-    asked = [
-        client if item.id == me else client.peer(item.operators) for item in listed
+    own_id, listed = status.ok.instance, status.ok.instances
+    clients = [
+        client if item.id == own_id else client.peer(item.operators) for item in listed
     ]
-    slots = DeferredSemaphore(CONCURRENT_REQUESTS)
+    semaphore = DeferredSemaphore(MAX_CONCURRENT_REQUESTS)
 
-    def ask(one: OperatorsClient) -> Deferred[Result[M, Refusal]]:
-        return slots.run(lambda: Deferred.fromCoroutine(one.get(path, model)))
+    def query(peer_client: OperatorsClient) -> Deferred[Result[M, ApiError]]:
+        return semaphore.run(
+            lambda: Deferred.fromCoroutine(peer_client.get(path, model))
+        )
 
-    results = await gatherResults([ask(one) for one in asked])
-    named = list(zip((item.id for item in listed), results, strict=True))
+    results = await gatherResults([query(peer_client) for peer_client in clients])
+    pairs = list(zip((item.id for item in listed), results, strict=True))
     return Ok(
-        FleetAnswers(
+        FleetResponses(
             listed=listed,
-            answers={name: r.ok for name, r in named if r.is_ok()},
-            refusals={name: r.error for name, r in named if r.is_error()},
+            answers={name: r.ok for name, r in pairs if r.is_ok()},
+            errors={name: r.error for name, r in pairs if r.is_error()},
         )
     )
--- a/packages/cli/src/sycamorenotch_cli/_history.py
+++ b/packages/cli/src/sycamorenotch_cli/_history.py
@@ -1,4 +1,4 @@
-"""The command that lists the generations of an environment."""
+"""Command that lists the generations of an environment."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from sycamorenotch_cli._commands import Invocation
 from sycamorenotch_cli._commands import Outcome
 from sycamorenotch_cli._commands import command
-from sycamorenotch_cli._commands import refused
+from sycamorenotch_cli._commands import error_outcome
 from sycamorenotch_cli._messages import HistoryModel
 from sycamorenotch_cli._tables import table
 
@@ -16,16 +16,16 @@
 @command(
     "history",
     "ENVIRONMENT",
-    "List who wrote which generation of an environment, and when.",
+    "List the generations of an environment with their authors and times.",
     "sycamorenotch history production",
 )
 async def history(invocation: Invocation) -> Outcome:
-    """List the kept generations, the newest first."""
+    """List the stored generations, the newest first."""
     (name,) = invocation.args
     path = f"/v1/documents/{name}/history"
     found = await invocation.connect().get(path, HistoryModel)
     if found.is_error():
-        return refused(found.error)
+        return error_outcome(found.error)
     rows = [
         (
             item.generation,
@@ -42,5 +42,5 @@
 
 
 def format_time(at: datetime | None) -> str:
-    """Return a time for people, to the second."""
+    """Return a time for display, in seconds resolution."""
     return "-" if at is None else at.isoformat(sep=" ", timespec="seconds")
--- a/packages/cli/src/sycamorenotch_cli/_log_lines.py
+++ b/packages/cli/src/sycamorenotch_cli/_log_parser.py
@@ -1,4 +1,4 @@
-"""Reads the log lines of gateways."""
+"""Parser of gateway logs."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LogLineModel(BaseModel):
-    """What every log line has; each event adds its own fields."""
+    """Common fields of log lines; each event adds its own."""
 
     model_config = ConfigDict(extra="allow", frozen=True)
 
@@ -30,10 +30,11 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One event of a log.
+    """A logged event.
 
-    :param at: wall clock seconds; clocks of instances may differ.
-    :param fields: the event's own fields.
+    :param at: Unix time in seconds; the clocks of instances may differ.
+    :param name: event name.
+    :param fields: the event's own fields, and its worker if it has one.
     """
 
     at: float
@@ -48,13 +49,13 @@
         return f"{self.at:.3f} {self.instance} {self.name}: {shown}"
 
 
-_HIDDEN = {"event_number", "severity"}
+HIDDEN_FIELDS = {"event_number", "severity"}
 
 
 def parse_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Parse log lines; what stands before the first brace is skipped.
+    """Parse log lines, skipping any prefix before the JSON object.
 
-    Lines of other programs are passed over.
+    Lines in another format are ignored.
     """
     for text in texts:
         start = text.find("{")
@@ -65,7 +66,9 @@
         except (ValidationError, json.JSONDecodeError):
             continue
         extra = model.model_extra or {}
-        fields = {key: value for key, value in extra.items() if key not in _HIDDEN}
+        fields = {
+            key: value for key, value in extra.items() if key not in HIDDEN_FIELDS
+        }
         if model.worker:
             fields = {"worker": model.worker, **fields}
         yield LogLine(
@@ -79,7 +82,7 @@
 
 
 def read_logs(paths: Iterable[str]) -> tuple[LogLine, ...]:
-    """Read the lines of several logs, the oldest first.
+    """Read the events of several log files, the oldest first.
 
     :raises OSError: if a file cannot be read.
     """
--- a/packages/cli/src/sycamorenotch_cli/_messages.py
+++ b/packages/cli/src/sycamorenotch_cli/_messages.py
@@ -1,4 +1,4 @@
-"""Models of what the operators' interface answers."""
+"""Models of the responses of the operators' API."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class DocumentModel(BaseModel):
-    """An environment's document and who wrote it."""
+    """A document of an environment and its metadata."""
 
     environment: str
     generation: int
@@ -33,7 +33,7 @@
 
 
 class RevisionModel(BaseModel):
-    """One generation in the history."""
+    """A generation in the history."""
 
     generation: int
     author: str
@@ -44,14 +44,14 @@
 
 
 class HistoryModel(BaseModel):
-    """The kept generations, the newest first."""
+    """The stored generations, the newest first."""
 
     environment: str
     revisions: tuple[RevisionModel, ...]
 
 
 class InstanceModel(BaseModel):
-    """An instance in the list of one instance."""
+    """An entry of an instance's instance list."""
 
     id: str
     region: str
@@ -76,7 +76,7 @@
 
 
 class SpreadModel(BaseModel):
-    """Where a generation is in force, as one instance has heard."""
+    """Instances on which a generation is in force, as known to one instance."""
 
     generation: int
     in_force: tuple[str, ...]
@@ -84,7 +84,7 @@
 
 
 class FactModel(BaseModel):
-    """One input of a decision."""
+    """An input of a decision."""
 
     name: str
     value: str
@@ -104,15 +104,15 @@
 
 
 class CountsModel(BaseModel):
-    """Requests of one objective in one window."""
+    """Request counts of an objective in a window."""
 
     total: int
     failed: int
     slow: int
 
 
-class SpenderModel(BaseModel):
-    """A cause that spent error budget."""
+class BurnCauseModel(BaseModel):
+    """A kind of failure that spent error budget."""
 
     kind: str
     count: int
@@ -120,7 +120,7 @@
 
 
 class ObjectiveModel(BaseModel):
-    """Counts of one objective on one instance."""
+    """Counts of an objective on one instance."""
 
     service: str
     rank: str
@@ -129,11 +129,11 @@
     latency_share: float
     windows: dict[BurnWindow, CountsModel]
     histogram: str
-    spent: tuple[SpenderModel, ...]
+    spent: tuple[BurnCauseModel, ...]
 
 
 class BurnModel(BaseModel):
-    """Counts of every objective on one instance."""
+    """Counts of all objectives on one instance."""
 
     instance: str
     objectives: tuple[ObjectiveModel, ...]
--- a/packages/cli/src/sycamorenotch_cli/_plugins.py
+++ b/packages/cli/src/sycamorenotch_cli/_plugins.py
@@ -1,4 +1,4 @@
-"""The command that lists registries and who filled them."""
+"""Command that lists the registries and their entries."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 @command(
     "plugins",
     "",
-    "List every registry and the module behind each name.",
+    "List the registries and the module of each registered name.",
     "sycamorenotch plugins",
 )
 async def plugins(invocation: Invocation) -> Outcome:
--- a/packages/cli/src/sycamorenotch_cli/_report.py
+++ b/packages/cli/src/sycamorenotch_cli/_report.py
@@ -1,4 +1,4 @@
-"""The command that prints a registered report."""
+"""Command that prints a registered report."""
 
 from __future__ import annotations
 
--- a/packages/cli/src/sycamorenotch_cli/_status.py
+++ b/packages/cli/src/sycamorenotch_cli/_status.py
@@ -1,4 +1,4 @@
-"""The command that shows the state of every instance."""
+"""Command that shows the state of every instance."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from sycamorenotch_cli._commands import Invocation
 from sycamorenotch_cli._commands import Outcome
 from sycamorenotch_cli._commands import command
-from sycamorenotch_cli._commands import refused
-from sycamorenotch_cli._fleet import FleetAnswers
-from sycamorenotch_cli._fleet import ask_fleet
+from sycamorenotch_cli._commands import error_outcome
+from sycamorenotch_cli._fleet import FleetResponses
+from sycamorenotch_cli._fleet import query_fleet
 from sycamorenotch_cli._messages import InstanceModel
 from sycamorenotch_cli._messages import StatusModel
 from sycamorenotch_cli._tables import table
@@ -17,14 +17,14 @@
 @command(
     "status",
     "",
-    "Show the instances, the generation in force on each, and what is drained.",
+    "Show the instances, the generation in force on each, and the drains.",
     "sycamorenotch status",
 )
 async def status(invocation: Invocation) -> Outcome:
-    """Ask each instance for its state."""
-    found = await ask_fleet(invocation.connect(), "/v1/status", StatusModel)
+    """Query each instance for its state."""
+    found = await query_fleet(invocation.connect(), "/v1/status", StatusModel)
     if found.is_error():
-        return refused(found.error)
+        return error_outcome(found.error)
     fleet = found.ok
     newest = max((item.generation for item in fleet.answers.values()), default=0)
     current = sum(item.generation == newest for item in fleet.answers.values())
@@ -43,7 +43,7 @@
     return Outcome(code, "\n".join(lines), data)
 
 
-def _row(fleet: FleetAnswers[StatusModel], item: InstanceModel) -> tuple[object, ...]:
+def _row(fleet: FleetResponses[StatusModel], item: InstanceModel) -> tuple[object, ...]:
     place = (item.id, item.region, item.data_centre)
     answer = fleet.answers.get(item.id)
     if answer is None:
@@ -52,7 +52,7 @@
     return (*place, state, answer.generation, sum(answer.violations.values()))
 
 
-def _drain_lines(fleet: FleetAnswers[StatusModel]) -> list[str]:
+def _drain_lines(fleet: FleetResponses[StatusModel]) -> list[str]:
     newest = max(fleet.answers.values(), key=lambda item: item.generation, default=None)
     if newest is None:
         return []
--- a/packages/cli/src/sycamorenotch_cli/_tables.py
+++ b/packages/cli/src/sycamorenotch_cli/_tables.py
@@ -1,4 +1,4 @@
-"""Tables for a terminal."""
+"""Plain-text tables."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Return a table with columns as wide as their widest cell."""
+    """Return a table with left-aligned columns."""
     lines = [tuple(head), *(tuple(map(str, row)) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     return "\n".join(
--- a/packages/cli/src/sycamorenotch_cli/_waiting.py
+++ b/packages/cli/src/sycamorenotch_cli/_waiting.py
@@ -1,4 +1,4 @@
-"""Waits until a generation is in force on every instance."""
+"""Polling until a generation is in force on every instance."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from sycamorenotch_cli._commands import ExitCode
 from sycamorenotch_cli._commands import Invocation
 from sycamorenotch_cli._commands import Outcome
-from sycamorenotch_cli._fleet import ask_fleet
+from sycamorenotch_cli._fleet import query_fleet
 from sycamorenotch_cli._messages import SpreadModel
 from sycamorenotch_cli._messages import StatusModel
 
@@ -21,10 +21,11 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Spread:
+class RolloutStatus:
     """On how many instances a generation is in force.
 
-    :param behind: instances that serve an older one or did not answer.
+    :param total: number of instances.
+    :param behind: instances with an older generation or without a response.
     """
 
     generation: int
@@ -33,7 +34,7 @@
 
     @property
     def text(self) -> str:
-        """The spread, for people."""
+        """The rollout status, for display."""
         count = self.total - len(self.behind)
         text = f"generation {self.generation} is in force on {count} of {self.total}"
         named = ", ".join(self.behind)
@@ -41,42 +42,44 @@
 
 
 async def wait_in_force(invocation: Invocation, generation: int) -> Outcome:
-    """Ask the fleet until every instance serves a generation, or time is over."""
+    """Poll until a generation is in force on every instance or time is out."""
     client, limit = invocation.connect(), invocation.options.wait_limit
-    end = invocation.reactor.seconds() + limit.total_seconds()
+    deadline_s = invocation.reactor.seconds() + limit.total_seconds()
     while True:
-        spread = await _spread(client, generation)
-        late = invocation.reactor.seconds() >= end
-        if late or not spread.behind:
+        status = await _rollout_status(client, generation)
+        timed_out = invocation.reactor.seconds() >= deadline_s
+        if timed_out or not status.behind:
             break
         await deferLater(invocation.reactor, POLL_INTERVAL.total_seconds())
-    code = ExitCode.PARTIAL if spread.behind else ExitCode.OK
+    code = ExitCode.PARTIAL if status.behind else ExitCode.OK
     data = {
         "generation": generation,
-        "in_force": spread.total - len(spread.behind),
-        "instances": spread.total,
-        "behind": spread.behind,
+        "in_force": status.total - len(status.behind),
+        "instances": status.total,
+        "behind": status.behind,
     }
-    return Outcome(code, spread.text, data)
+    return Outcome(code, status.text, data)
 
 
-async def _spread(client: OperatorsClient, generation: int) -> Spread:
-    """Ask one instance, or all if it does not hear of the others."""
-    heard = await client.get(f"/v1/spread/{generation}", SpreadModel)
-    if heard.is_error():
-        return await _asked_spread(client, generation)
-    total = len(heard.ok.in_force) + len(heard.ok.missing)
-    return Spread(generation, total, heard.ok.missing)
+async def _rollout_status(client: OperatorsClient, generation: int) -> RolloutStatus:
+    """Query one instance, or all of them if it does not know the others' state."""
+    reported = await client.get(f"/v1/spread/{generation}", SpreadModel)
+    if reported.is_error():
+        return await _poll_rollout_status(client, generation)
+    total = len(reported.ok.in_force) + len(reported.ok.missing)
+    return RolloutStatus(generation, total, reported.ok.missing)
 
 
-async def _asked_spread(client: OperatorsClient, generation: int) -> Spread:
-    found = await ask_fleet(client, "/v1/status", StatusModel)
+async def _poll_rollout_status(
+    client: OperatorsClient, generation: int
+) -> RolloutStatus:
+    found = await query_fleet(client, "/v1/status", StatusModel)
     if found.is_error():
-        return Spread(generation, 1, (client.url,))
+        return RolloutStatus(generation, 1, (client.url,))
     answers = found.ok.answers
     behind = tuple(
         item.id
         for item in found.ok.listed
         if item.id not in answers or answers[item.id].generation < generation
     )
-    return Spread(generation, len(found.ok.listed), behind)
+    return RolloutStatus(generation, len(found.ok.listed), behind)
--- a/packages/cli/src/sycamorenotch_cli/main.py
+++ b/packages/cli/src/sycamorenotch_cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of ``sycamorenotch``."""
+"""Entry point of the ``sycamorenotch`` command."""
 
 from __future__ import annotations
 
@@ -31,24 +31,30 @@
     "operators", "http://127.0.0.1:8081", "URL of an instance's operators' listener."
 )
 TOKEN_FILE = flags.DEFINE_string("token_file", None, "File with the bearer token.")
-FORMAT = flags.DEFINE_enum("format", "text", ["text", "json"], "Form of the output.")
-AUTHOR = flags.DEFINE_string("author", "", "Name for the history; else the login name.")
+FORMAT = flags.DEFINE_enum("format", "text", ["text", "json"], "Output format.")
+AUTHOR = flags.DEFINE_string(
+    "author", "", "Author for the history; defaults to the login name."
+)
 EXPECT = flags.DEFINE_integer(
-    "expect", None, "Generation that was seen; the write is refused if it is older."
+    "expect", None, "Generation to replace; the write is refused if a newer one exists."
+)
+WAIT = flags.DEFINE_bool(
+    "wait", False, "Wait until the change is in force on every instance."
+)
+WAIT_SECONDS = flags.DEFINE_float("wait_seconds", 10.0, "Maximum time to wait.")
+FROM = flags.DEFINE_string("from", "trial", "Environment that a promotion copies from.")
+TO = flags.DEFINE_string("to", "production", "Environment that a promotion copies to.")
+ENVIRONMENT = flags.DEFINE_string(
+    "environment", "production", "Environment of a drain."
 )
-WAIT = flags.DEFINE_bool("wait", False, "Wait until every instance serves the change.")
-WAIT_SECONDS = flags.DEFINE_float("wait_seconds", 10.0, "Longest time to wait.")
-FROM = flags.DEFINE_string("from", "trial", "Environment that a promotion copies.")
-TO = flags.DEFINE_string("to", "production", "Environment that a promotion writes.")
-ENVIRONMENT = flags.DEFINE_string("environment", "production", "Where a drain applies.")
 UNDO = flags.DEFINE_bool("undo", False, "End a drain.")
 LOG = flags.DEFINE_multi_string("log", [], "Log file of a gateway; may be repeated.")
-OUTPUT = flags.DEFINE_string("output", "", "File for a report as HTML.")
+OUTPUT = flags.DEFINE_string("output", "", "HTML file to write a report to.")
 
 
 def main() -> None:
-    """Run one command."""
-    # A command's name comes first, and flags may follow its arguments.
+    """Run the command that the arguments name."""
+    # Flags may follow the command's name and arguments.
     flags.FLAGS.set_gnu_getopt(True)
     words = [word for word in sys.argv[1:] if not word.startswith("-")]
     if any(word in HELP_WORDS for word in sys.argv[1:]) or not words:
@@ -69,7 +75,7 @@
 def _run(argv: list[str]) -> None:
     load_plugins()
     if len(argv) < 2:
-        _exit(_usage_error("no command is named; see sycamorenotch --help"))
+        _exit(_usage_error("no command given; see sycamorenotch --help"))
     name, args = argv[1], tuple(argv[2:])
     try:
         found: Command = commands.get(name)
--- a/testing/cli/conftest.py
+++ b/testing/cli/conftest.py
@@ -1,4 +1,4 @@
-"""A local fleet and a function that runs commands against it."""
+"""Fixtures: a local fleet, and a function that runs commands on it."""
 
 from __future__ import annotations
 
--- a/testing/cli/test_binary.py
+++ b/testing/cli/test_binary.py
@@ -1,4 +1,4 @@
-"""Tests of the installed command as a process of its own."""
+"""Tests of the installed command in a separate process."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     )
 
 
-def test_check_reports_five_when_document_has_five_mistakes(tmp_path: Path) -> None:
+def test_check_reports_every_mistake_of_a_document(tmp_path: Path) -> None:
     text = (ROOT / "examples" / "vatukoula.ini").read_text()
     mistakes = {
         "cap = 10%": "cap = 10",
@@ -58,14 +58,16 @@
         (("check", "examples/lacteos.ini"), ExitCode.OK),
     ],
 )
-def test_exit_code_tells_what_went_wrong(args: tuple[str, ...], code: ExitCode) -> None:
+def test_exit_code_states_the_kind_of_error(
+    args: tuple[str, ...], code: ExitCode
+) -> None:
     found = run_binary(*args)
     assert found.returncode == code
     assert found.stdout or found.stderr
     assert "Traceback" not in found.stderr
 
 
-def test_help_shows_example_when_command_is_named() -> None:
+def test_help_shows_example_when_a_command_is_given() -> None:
     found = run_binary("promote", "--help")
     assert found.returncode == ExitCode.OK
     assert commands.get("promote").example in found.stdout
--- a/testing/cli/test_burn_report.py
+++ b/testing/cli/test_burn_report.py
@@ -1,4 +1,4 @@
-"""Tests of the report on service-level burn."""
+"""Tests of the service-level burn report."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return next(item for item in found if item["service"] == service)
 
 
-def test_report_adds_up_instances_and_names_what_spent_the_budget(
+def test_report_sums_instances_and_lists_kinds_that_spent_the_budget(
     example: LocalExample, run_command: RunCommand, run_in_reactor: Run, tmp_path: Path
 ) -> None:
     callers = example.describe()["callers"]
@@ -62,7 +62,7 @@
     assert not re.search(r'(src|href)="https?:', text)
 
 
-class HalfOfFleet:
+class ClientWithUnreachablePeer:
     """Client of an instance whose only peer cannot be reached."""
 
     def __init__(self, client: OperatorsClient) -> None:
@@ -76,10 +76,10 @@
 
 
 @pytest.mark.parametrize("command", ["report burn", "status"])
-def test_command_names_instance_that_does_not_answer(
+def test_command_lists_instance_that_does_not_respond(
     run_command: RunCommand, client: OperatorsClient, command: str
 ) -> None:
-    outcome = run_command(*command.split(), client=HalfOfFleet(client))
+    outcome = run_command(*command.split(), client=ClientWithUnreachablePeer(client))
     assert outcome.code is ExitCode.PARTIAL
     assert outcome.data["missing"] == ("entry-suva",)
     assert "1 of 2 instances answered; missing: entry-suva" in outcome.text
--- a/testing/cli/test_commands.py
+++ b/testing/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the commands against a local fleet over loopback sockets."""
+"""Tests of the commands on a local fleet over loopback sockets."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return path
 
 
-def test_apply_waits_until_every_instance_serves_it(
+def test_apply_waits_until_document_is_in_force_on_every_instance(
     run_command: RunCommand, document: Path
 ) -> None:
     outcome = run_command("apply", "production", str(document), wait=True)
@@ -35,7 +35,7 @@
     assert outcome.text.endswith("is in force on 2 of 2 instances")
 
 
-def test_loser_of_race_sees_winner_and_difference(
+def test_conflicting_apply_shows_newest_author_and_difference(
     run_command: RunCommand, document: Path
 ) -> None:
     seen = run_command("show", "production").data["generation"]
@@ -48,7 +48,7 @@
     assert lost.data["winner"]["author"] == "ben"
 
 
-def test_promotion_names_generation_it_copies(
+def test_promotion_records_generation_it_is_copied_from(
     run_command: RunCommand, document: Path
 ) -> None:
     trial = run_command("apply", "trial", str(document))
@@ -88,7 +88,7 @@
     assert run_in_reactor(named()) == 2
 
 
-def test_workers_get_no_work_when_data_centre_is_drained(
+def test_workers_receive_no_calls_when_data_centre_is_drained(
     example: LocalExample, run_command: RunCommand, run_in_reactor: Run
 ) -> None:
     callers = example.describe()["callers"][0]
@@ -117,7 +117,7 @@
         (("apply", "production", "Makefile"), ExitCode.INVALID),
     ],
 )
-def test_command_fails_clearly_when_argument_is_wrong(
+def test_command_fails_with_exit_code_and_message_when_argument_is_invalid(
     run_command: RunCommand, args: tuple[str, ...], code: ExitCode
 ) -> None:
     outcome = run_command(*args)
@@ -125,7 +125,7 @@
     assert outcome.text
 
 
-def test_explain_tells_decision_in_plain_words(
+def test_explain_describes_decision_of_a_call(
     example: LocalExample, run_command: RunCommand, run_in_reactor: Run
 ) -> None:
     callers = example.describe()["callers"][1]
--- a/testing/cli/test_log_causes.py
+++ b/testing/cli/test_request_trace.py
@@ -1,4 +1,4 @@
-"""Tests of the way from a request's identifier to its cause in the logs."""
+"""Tests of explaining a request's outcome from gateway logs."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from sycamorenotch_cli._commands import ExitCode
 from sycamorenotch_cli._commands import Invocation
 from sycamorenotch_cli._commands import Options
-from sycamorenotch_cli._log_causes import cause_of
-from sycamorenotch_cli._log_causes import tell
-from sycamorenotch_cli._log_lines import parse_lines
+from sycamorenotch_cli._log_parser import parse_lines
+from sycamorenotch_cli._request_trace import describe_cause
+from sycamorenotch_cli._request_trace import trace_request
 from sycamorenotch_kernel import commands
 
 PREFIX = "   1.2030 frontend-a-1 "
@@ -53,20 +53,24 @@
         ("internal", "refused it as internal: why"),
     ],
 )
-def test_cause_of_a_refusal(kind, words) -> None:
+def test_cause_when_the_request_was_refused(kind, words) -> None:
     lines = tuple(parse_lines([ATTEMPT, refused(kind)]))
-    assert words in cause_of(tell(lines, "r1"))
+    assert words in describe_cause(trace_request(lines, "r1"))
 
 
-def test_cause_when_the_instance_ended_first() -> None:
-    assert "instance ended" in cause_of(tell(tuple(parse_lines([ATTEMPT])), "r1"))
+def test_cause_when_the_instance_ended_before_the_request() -> None:
+    assert "instance ended" in describe_cause(
+        trace_request(tuple(parse_lines([ATTEMPT])), "r1")
+    )
 
 
-def test_cause_when_no_line_names_the_request() -> None:
-    assert "No line" in cause_of(tell(tuple(parse_lines([ATTEMPT])), "other"))
+def test_cause_when_no_line_mentions_the_request() -> None:
+    assert "No line" in describe_cause(
+        trace_request(tuple(parse_lines([ATTEMPT])), "other")
+    )
 
 
-def test_context_holds_what_its_worker_and_instance_did_shortly_before() -> None:
+def test_context_holds_recent_events_of_its_instance_and_workers() -> None:
     texts = [
         line(5.0, "worker.failed", worker="i-1"),
         line(5.0, "worker.failed", worker="i-2"),
@@ -75,11 +79,11 @@
         ATTEMPT,
         refused("upstream-failed"),
     ]
-    story = tell(tuple(parse_lines(texts)), "r1")
-    assert [item.name for item in story.context] == ["worker.failed", "store.lost"]
+    trace = trace_request(tuple(parse_lines(texts)), "r1")
+    assert [item.name for item in trace.context] == ["worker.failed", "store.lost"]
 
 
-def test_lines_of_other_programs_are_passed_over() -> None:
+def test_lines_in_another_format_are_ignored() -> None:
     texts = ["no json", "{broken", '{"other": 1}', ATTEMPT]
     assert [item.worker for item in parse_lines(texts)] == ["i-1"]
 
@@ -96,7 +100,7 @@
     json.dumps(outcome.data)
 
 
-def test_explain_says_when_a_log_cannot_be_read(run_in_reactor, tmp_path) -> None:
+def test_explain_fails_when_a_log_file_cannot_be_read(run_in_reactor, tmp_path) -> None:
     options = Options(logs=(str(tmp_path / "absent"),))
     invocation = Invocation(("r1",), options, None, lambda: None)
     outcome = run_in_reactor(commands.get("explain").run(invocation))
--- a/testing/cli/test_waiting.py
+++ b/testing/cli/test_waiting.py
@@ -1,4 +1,4 @@
-"""Tests of how far a generation has spread, as one instance hears it."""
+"""Tests of the rollout status that one instance reports for the fleet."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from sycamorenotch_workbench import LocalExample
 
 
-class HeardFleet:
-    """View in which one instance lags behind."""
+class FixedFleetView:
+    """Fleet view with given members."""
 
     def __init__(self, *members: FleetMember) -> None:
         self._members = members
@@ -44,12 +44,12 @@
     )
 
 
-def test_wait_ends_as_partial_when_an_instance_is_heard_to_lag(
+def test_wait_returns_partial_when_an_instance_has_an_older_generation(
     example: LocalExample, run_command: Callable[..., Outcome]
 ) -> None:
-    heard = HeardFleet(member("entry-a", 1_000_000), member("entry-b", 0))
+    fleet_view = FixedFleetView(member("entry-a", 1_000_000), member("entry-b", 0))
     node = example.daemons[0].node
-    node.provide(FleetView, heard)  # type: ignore[type-abstract]
+    node.provide(FleetView, fleet_view)  # type: ignore[type-abstract]
     outcome = run_command(
         "drain", "upstream", "balance-nadi-1", wait=True, wait_limit=timedelta()
     )
--- a/testing/platform/test_explain.py
+++ b/testing/platform/test_explain.py
@@ -5,9 +5,9 @@
 import json
 from random import Random
 
-from sycamorenotch_cli._log_causes import cause_of
-from sycamorenotch_cli._log_causes import tell
-from sycamorenotch_cli._log_lines import parse_lines
+from sycamorenotch_cli._log_parser import parse_lines
+from sycamorenotch_cli._request_trace import describe_cause
+from sycamorenotch_cli._request_trace import trace_request
 
 SEED = 20
 REQUESTS = 60
@@ -58,7 +58,10 @@
             await one(site)
         lines = tuple(parse_lines(_line(n, e) for n, e in enumerate(site.sink.events)))
         drawn = random.sample(failed, DRAWN)
-        causes = [(cause_of(tell(lines, name)), trouble) for name, trouble in drawn]
+        causes = [
+            (describe_cause(trace_request(lines, name)), trouble)
+            for name, trouble in drawn
+        ]
         told = [
             any(words in cause for words in (*CAUSES[trouble], *AFTERMATH))
             for cause, trouble in causes
--- a/testing/processes/test_processes.py
+++ b/testing/processes/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests of the path through separate processes on loopback."""
+"""Tests of the system with each part in a separate process on loopback."""
 
 from __future__ import annotations
 
@@ -179,7 +179,7 @@
         yield System(callers, upstream, daemons)
 
 
-def test_call_is_answered_when_every_part_is_a_process(system: System) -> None:
+def test_call_is_answered_when_every_part_is_a_separate_process(system: System) -> None:
     url = f"{system.callers[0]}/v1/lookup?service=voucher&client=127.0.0.1"
     status, found = fetch(url)
     assert status == 200
