--- a/packages/daemon/src/sycamorenotch_daemon/_problems.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_problems.py
@@ -10,16 +10,16 @@
 
 from sycamorenotch_kernel import ErrorKind
 from sycamorenotch_kernel import Failure
+from sycamorenotch_transport import RejectionReason
 from sycamorenotch_transport import WireAnswer
-from sycamorenotch_transport import WireProblem
 
 PROBLEM_TYPE = "application/problem+json"
 
 WIRE_KINDS = {
-    WireProblem.MALFORMED: ErrorKind.BAD_REQUEST,
-    WireProblem.HEADERS_TOO_LARGE: ErrorKind.HEADERS_TOO_LARGE,
-    WireProblem.BODY_TOO_LARGE: ErrorKind.BODY_TOO_LARGE,
-    WireProblem.SLOW_SENDER: ErrorKind.SLOW_SENDER,
+    RejectionReason.MALFORMED: ErrorKind.BAD_REQUEST,
+    RejectionReason.HEADERS_TOO_LARGE: ErrorKind.HEADERS_TOO_LARGE,
+    RejectionReason.BODY_TOO_LARGE: ErrorKind.BODY_TOO_LARGE,
+    RejectionReason.SLOW_SENDER: ErrorKind.SLOW_SENDER,
 }
 
 
@@ -37,7 +37,7 @@
     return _encode(failure, decision)
 
 
-def wire_problem(problem: WireProblem, decision: str) -> WireAnswer:
+def wire_problem(problem: RejectionReason, decision: str) -> WireAnswer:
     """Return the answer to a request that was not read to its end."""
     failure = Failure(WIRE_KINDS[problem], problem.value)
     phrase = HTTPStatus(failure.answer.status).phrase
--- a/packages/transport/src/sycamorenotch_transport/__init__.py
+++ b/packages/transport/src/sycamorenotch_transport/__init__.py
@@ -10,9 +10,9 @@
     from sycamorenotch_transport._background import Background
     from sycamorenotch_transport._background import Turn
     from sycamorenotch_transport._bodies import BytesProducer
+    from sycamorenotch_transport._bounded_http import RejectionReason
     from sycamorenotch_transport._bounded_http import RequestBounds
     from sycamorenotch_transport._bounded_http import WireAnswer
-    from sycamorenotch_transport._bounded_http import WireProblem
     from sycamorenotch_transport._http1_client import ExchangeError
     from sycamorenotch_transport._http1_messages import HeaderPairs
     from sycamorenotch_transport._http1_messages import HttpBounds
@@ -45,7 +45,7 @@
     "LiteralResolver": "_resolver",
     "RequestBounds": "_bounded_http",
     "WireAnswer": "_bounded_http",
-    "WireProblem": "_bounded_http",
+    "RejectionReason": "_bounded_http",
     "header": "_http1_messages",
     "install_literal_resolver": "_resolver",
     "without_connection_headers": "_http1_messages",
@@ -64,10 +64,10 @@
     "HttpRequest",
     "HttpResponse",
     "LiteralResolver",
+    "RejectionReason",
     "RequestBounds",
     "Turn",
     "WireAnswer",
-    "WireProblem",
     "header",
     "install_literal_resolver",
     "without_connection_headers",
--- a/packages/transport/src/sycamorenotch_transport/_bounded_http.py
+++ b/packages/transport/src/sycamorenotch_transport/_bounded_http.py
@@ -21,7 +21,7 @@
 
 @final
 @unique
-class WireProblem(Enum):
+class RejectionReason(Enum):
     """Why a request was rejected before it was completely received."""
 
     MALFORMED = "malformed"
@@ -68,10 +68,10 @@
     receive: timedelta = timedelta(seconds=15)
 
 
-BuildRejection = Callable[[WireProblem], WireAnswer]
+BuildRejection = Callable[[RejectionReason], WireAnswer]
 
 
-def plain_text_rejection(problem: WireProblem) -> WireAnswer:
+def plain_text_rejection(problem: RejectionReason) -> WireAnswer:
     """Return a 400 response with a plain text body."""
     return WireAnswer("400 Bad Request", "text/plain", problem.value.encode())
 
@@ -84,12 +84,12 @@
         """Reject a ``Content-Length`` beyond the limit."""
         self.content = BytesIO()
         if length is not None and length > self.channel.bounds.body_bytes:
-            self.channel.reject(WireProblem.BODY_TOO_LARGE)
+            self.channel.reject(RejectionReason.BODY_TOO_LARGE)
 
     def handleContentChunk(self, data: bytes) -> None:
         """Append a chunk, or reject the request if its body exceeds the limit."""
         if self.content.tell() + len(data) > self.channel.bounds.body_bytes:
-            self.channel.reject(WireProblem.BODY_TOO_LARGE)
+            self.channel.reject(RejectionReason.BODY_TOO_LARGE)
             return
         self.content.write(data)
 
@@ -141,7 +141,7 @@
 
     def lineLengthExceeded(self, line: bytes) -> Any:
         """Reject a line that exceeds the limit of all headers together."""
-        self.reject(WireProblem.HEADERS_TOO_LARGE)
+        self.reject(RejectionReason.HEADERS_TOO_LARGE)
         return None
 
     def connectionLost(self, reason: Any) -> None:
@@ -149,7 +149,7 @@
         self._stop_timer()
         super().connectionLost(reason)
 
-    def reject(self, problem: WireProblem) -> None:
+    def reject(self, problem: RejectionReason) -> None:
         """Answer the request that is being received and close the connection."""
         if self._rejected:
             return
@@ -172,7 +172,9 @@
         counted = self._receivedHeaderCount > self.maxHeaders
         too_large = sized or counted
         self.reject(
-            WireProblem.HEADERS_TOO_LARGE if too_large else WireProblem.MALFORMED
+            RejectionReason.HEADERS_TOO_LARGE
+            if too_large
+            else RejectionReason.MALFORMED
         )
 
     def _send100Continue(self) -> None:
@@ -181,7 +183,7 @@
 
     def _on_receive_timeout(self) -> None:
         self._receive_timer = None
-        self.reject(WireProblem.SLOW_SENDER)
+        self.reject(RejectionReason.SLOW_SENDER)
 
     def _abort(self) -> None:
         self._receive_timer = None
