--- a/packages/daemon/src/sycamorenotch_daemon/_problems.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_problems.py
@@ -11,7 +11,7 @@
 from sycamorenotch_kernel import ErrorKind
 from sycamorenotch_kernel import Failure
 from sycamorenotch_transport import RejectionReason
-from sycamorenotch_transport import WireAnswer
+from sycamorenotch_transport import RejectionResponse
 
 PROBLEM_TYPE = "application/problem+json"
 
@@ -37,12 +37,12 @@
     return _encode(failure, decision)
 
 
-def wire_problem(problem: RejectionReason, decision: str) -> WireAnswer:
+def wire_problem(problem: RejectionReason, decision: str) -> RejectionResponse:
     """Return the answer to a request that was not read to its end."""
     failure = Failure(WIRE_KINDS[problem], problem.value)
     phrase = HTTPStatus(failure.answer.status).phrase
     status = f"{failure.answer.status} {phrase}"
-    return WireAnswer(status, PROBLEM_TYPE, _encode(failure, decision))
+    return RejectionResponse(status, PROBLEM_TYPE, _encode(failure, decision))
 
 
 def _encode(failure: Failure, decision: str) -> bytes:
--- a/packages/transport/src/sycamorenotch_transport/__init__.py
+++ b/packages/transport/src/sycamorenotch_transport/__init__.py
@@ -11,8 +11,8 @@
     from sycamorenotch_transport._background import Turn
     from sycamorenotch_transport._bodies import BytesProducer
     from sycamorenotch_transport._bounded_http import RejectionReason
+    from sycamorenotch_transport._bounded_http import RejectionResponse
     from sycamorenotch_transport._bounded_http import RequestBounds
-    from sycamorenotch_transport._bounded_http import WireAnswer
     from sycamorenotch_transport._http1_client import ExchangeError
     from sycamorenotch_transport._http1_messages import HeaderPairs
     from sycamorenotch_transport._http1_messages import HttpBounds
@@ -44,7 +44,7 @@
     "HttpResponse": "_http1_messages",
     "LiteralResolver": "_resolver",
     "RequestBounds": "_bounded_http",
-    "WireAnswer": "_bounded_http",
+    "RejectionResponse": "_bounded_http",
     "RejectionReason": "_bounded_http",
     "header": "_http1_messages",
     "install_literal_resolver": "_resolver",
@@ -65,9 +65,9 @@
     "HttpResponse",
     "LiteralResolver",
     "RejectionReason",
+    "RejectionResponse",
     "RequestBounds",
     "Turn",
-    "WireAnswer",
     "header",
     "install_literal_resolver",
     "without_connection_headers",
--- a/packages/transport/src/sycamorenotch_transport/_bounded_http.py
+++ b/packages/transport/src/sycamorenotch_transport/_bounded_http.py
@@ -32,7 +32,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class WireAnswer:
+class RejectionResponse:
     """Response to a request that was rejected while it was being received.
 
     :param status: status code and reason phrase.
@@ -68,12 +68,12 @@
     receive: timedelta = timedelta(seconds=15)
 
 
-BuildRejection = Callable[[RejectionReason], WireAnswer]
+BuildRejection = Callable[[RejectionReason], RejectionResponse]
 
 
-def plain_text_rejection(problem: RejectionReason) -> WireAnswer:
+def plain_text_rejection(problem: RejectionReason) -> RejectionResponse:
     """Return a 400 response with a plain text body."""
-    return WireAnswer("400 Bad Request", "text/plain", problem.value.encode())
+    return RejectionResponse("400 Bad Request", "text/plain", problem.value.encode())
 
 
 @final
