--- a/packages/transport/src/sycamorenotch_transport/__init__.py
+++ b/packages/transport/src/sycamorenotch_transport/__init__.py
@@ -12,7 +12,7 @@
     from sycamorenotch_transport._bodies import BytesProducer
     from sycamorenotch_transport._bounded_http import RejectionReason
     from sycamorenotch_transport._bounded_http import RejectionResponse
-    from sycamorenotch_transport._bounded_http import RequestBounds
+    from sycamorenotch_transport._bounded_http import RequestLimits
     from sycamorenotch_transport._http1_client import ExchangeError
     from sycamorenotch_transport._http1_messages import HeaderPairs
     from sycamorenotch_transport._http1_messages import HttpBounds
@@ -43,7 +43,7 @@
     "HttpRequest": "_http1_messages",
     "HttpResponse": "_http1_messages",
     "LiteralResolver": "_resolver",
-    "RequestBounds": "_bounded_http",
+    "RequestLimits": "_bounded_http",
     "RejectionResponse": "_bounded_http",
     "RejectionReason": "_bounded_http",
     "header": "_http1_messages",
@@ -66,7 +66,7 @@
     "LiteralResolver",
     "RejectionReason",
     "RejectionResponse",
-    "RequestBounds",
+    "RequestLimits",
     "Turn",
     "header",
     "install_literal_resolver",
--- a/packages/transport/src/sycamorenotch_transport/_bounded_http.py
+++ b/packages/transport/src/sycamorenotch_transport/_bounded_http.py
@@ -55,7 +55,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class RequestBounds:
+class RequestLimits:
     """Limits on one request.
 
     :param header_bytes: maximum size of the request line and headers together.
@@ -103,7 +103,7 @@
     """
 
     def __init__(
-        self, reactor: Any, bounds: RequestBounds, build_rejection: BuildRejection
+        self, reactor: Any, bounds: RequestLimits, build_rejection: BuildRejection
     ) -> None:
         super().__init__()
         self.bounds = bounds
--- a/packages/transport/src/sycamorenotch_transport/_listeners.py
+++ b/packages/transport/src/sycamorenotch_transport/_listeners.py
@@ -16,11 +16,11 @@
 from sycamorenotch_transport._bounded_http import BuildRejection
 from sycamorenotch_transport._bounded_http import LimitedChannel
 from sycamorenotch_transport._bounded_http import LimitedRequest
-from sycamorenotch_transport._bounded_http import RequestBounds
+from sycamorenotch_transport._bounded_http import RequestLimits
 from sycamorenotch_transport._bounded_http import plain_text_rejection
 
 IDLE_TIMEOUT_S = 60
-DEFAULT_BOUNDS = RequestBounds()
+DEFAULT_BOUNDS = RequestLimits()
 
 
 @final
@@ -40,7 +40,7 @@
         endpoint: str,
         address: str,
         build_rejection: BuildRejection = plain_text_rejection,
-        bounds: RequestBounds = DEFAULT_BOUNDS,
+        bounds: RequestLimits = DEFAULT_BOUNDS,
     ) -> None:
         self._reactor = reactor
         self._endpoint = endpoint or _tcp_endpoint(address)
--- a/testing/transport/test_bounded_requests.py
+++ b/testing/transport/test_bounded_requests.py
@@ -19,9 +19,9 @@
 
 from sycamorenotch_daemon._problems import wire_problem
 from sycamorenotch_transport import HttpListener
-from sycamorenotch_transport import RequestBounds
+from sycamorenotch_transport import RequestLimits
 
-BOUNDS = RequestBounds(2048, 4096, timedelta(milliseconds=200))
+BOUNDS = RequestLimits(2048, 4096, timedelta(milliseconds=200))
 
 
 class Echo(Resource):
