--- a/packages/gateway/src/sycamorenotch_gateway/_front_end.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_front_end.py
@@ -24,7 +24,7 @@
 from sycamorenotch_policies import lookup_answer
 from sycamorenotch_transport import Handler
 from sycamorenotch_transport import Http1Server
-from sycamorenotch_transport import HttpBounds
+from sycamorenotch_transport import HttpLimits
 from sycamorenotch_transport import HttpRequest
 from sycamorenotch_transport import HttpResponse
 
@@ -109,7 +109,7 @@
 
     def _configured(self, configuration: ForwardingConfiguration) -> None:
         limits = configuration.limits
-        self._callers.bounds = HttpBounds(
+        self._callers.bounds = HttpLimits(
             limits.header_bytes,
             limits.body_bytes,
             limits.header_timeout_s,
--- a/packages/transport/src/sycamorenotch_transport/__init__.py
+++ b/packages/transport/src/sycamorenotch_transport/__init__.py
@@ -15,7 +15,7 @@
     from sycamorenotch_transport._bounded_http import RequestLimits
     from sycamorenotch_transport._http1_client import ExchangeError
     from sycamorenotch_transport._http1_messages import HeaderPairs
-    from sycamorenotch_transport._http1_messages import HttpBounds
+    from sycamorenotch_transport._http1_messages import HttpLimits
     from sycamorenotch_transport._http1_messages import HttpRequest
     from sycamorenotch_transport._http1_messages import HttpResponse
     from sycamorenotch_transport._http1_messages import header
@@ -38,7 +38,7 @@
     "HeaderPairs": "_http1_messages",
     "Http1Pool": "_http1_pool",
     "Http1Server": "_http1_server",
-    "HttpBounds": "_http1_messages",
+    "HttpLimits": "_http1_messages",
     "HttpListener": "_listeners",
     "HttpRequest": "_http1_messages",
     "HttpResponse": "_http1_messages",
@@ -59,7 +59,7 @@
     "HeaderPairs",
     "Http1Pool",
     "Http1Server",
-    "HttpBounds",
+    "HttpLimits",
     "HttpListener",
     "HttpRequest",
     "HttpResponse",
--- a/packages/transport/src/sycamorenotch_transport/_http1_messages.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_messages.py
@@ -55,7 +55,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class HttpBounds:
+class HttpLimits:
     """Limits on the clients of a server.
 
     :param header_bytes: maximum size of a request line and headers.
--- a/packages/transport/src/sycamorenotch_transport/_http1_server.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_server.py
@@ -14,7 +14,7 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from sycamorenotch_transport._http1_messages import HttpBounds
+from sycamorenotch_transport._http1_messages import HttpLimits
 from sycamorenotch_transport._http1_messages import HttpRequest
 from sycamorenotch_transport._http1_messages import HttpResponse
 from sycamorenotch_transport._http1_messages import decode_headers
@@ -255,13 +255,13 @@
         handler: Handler,
         build_error: BuildErrorResponse,
         report: Report,
-        bounds: HttpBounds | None = None,
+        bounds: HttpLimits | None = None,
     ) -> None:
         self._reactor = reactor
         self.handler = handler
         self.build_error = build_error
         self.report = report
-        self.bounds = HttpBounds() if bounds is None else bounds
+        self.bounds = HttpLimits() if bounds is None else bounds
         self.connections: set[ServerConnection] = set()
         self.total_body_bytes = 0
         self.draining = False
--- a/testing/transport/test_http1_server.py
+++ b/testing/transport/test_http1_server.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 
 from sycamorenotch_transport import Http1Server
-from sycamorenotch_transport import HttpBounds
+from sycamorenotch_transport import HttpLimits
 from sycamorenotch_transport import HttpRequest
 from sycamorenotch_transport import HttpResponse
 
@@ -20,7 +20,7 @@
 class Harness:
     """A server with one connection, the received requests and their responses."""
 
-    def __init__(self, bounds: HttpBounds | None = None) -> None:
+    def __init__(self, bounds: HttpLimits | None = None) -> None:
         self.clock = Clock()
         self.requests: list[HttpRequest] = []
         self.answers: list[Deferred[HttpResponse]] = []
@@ -126,7 +126,7 @@
     ],
 )
 def test_invalid_request_is_answered_and_the_connection_closed(data, status) -> None:
-    harness = Harness(HttpBounds(body_bytes=8))
+    harness = Harness(HttpLimits(body_bytes=8))
     harness.send(data)
     assert harness.written.startswith(b"HTTP/1.1 " + status)
     assert harness.transport.disconnecting
@@ -154,7 +154,7 @@
 
 
 def test_body_is_rejected_when_the_body_buffers_are_full() -> None:
-    harness = Harness(HttpBounds(buffered_bytes=4))
+    harness = Harness(HttpLimits(buffered_bytes=4))
     harness.send(b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n" + b"a" * 9)
     assert harness.written.startswith(b"HTTP/1.1 503")
     assert harness.server.total_body_bytes == 0
