--- a/packages/daemon/src/sycamorenotch_daemon/_background.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_background.py
@@ -10,7 +10,7 @@
 from sycamorenotch_kernel import EventSink
 from sycamorenotch_kernel import Severity
 from sycamorenotch_kernel import event
-from sycamorenotch_transport import Background
+from sycamorenotch_transport import PeriodicTask
 from sycamorenotch_transport import Turn
 
 
@@ -24,8 +24,8 @@
     error: str
 
 
-def background(reactor: Any, sink: EventSink, turn: Turn) -> Background:
+def background(reactor: Any, sink: EventSink, turn: Turn) -> PeriodicTask:
     """Return a sequence of turns that reports failures to a sink."""
-    return Background(
+    return PeriodicTask(
         reactor, turn, lambda name, error: sink.emit(TurnFailed(name, error))
     )
--- a/packages/gateway/src/sycamorenotch_gateway/_node.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_node.py
@@ -18,7 +18,7 @@
 from sycamorenotch_gateway._settings import GatewaySettings
 from sycamorenotch_kernel import EventSink
 from sycamorenotch_kernel import ObjectFeed
-from sycamorenotch_transport import Background
+from sycamorenotch_transport import PeriodicTask
 from sycamorenotch_transport import Turn
 
 T = TypeVar("T")
@@ -71,9 +71,9 @@
         """Whether the order to stop has come."""
         return self.stopping_since is not None
 
-    def background(self, turn: Turn) -> Background:
+    def background(self, turn: Turn) -> PeriodicTask:
         """Return a sequence of turns that reports failures to the log."""
-        return Background(self.reactor, turn, self._turn_failed)
+        return PeriodicTask(self.reactor, turn, self._turn_failed)
 
     def provide(self, kind: type[T], value: T) -> None:
         """Offer a component's service to other components."""
--- a/packages/transport/src/sycamorenotch_transport/__init__.py
+++ b/packages/transport/src/sycamorenotch_transport/__init__.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 if TYPE_CHECKING:
-    from sycamorenotch_transport._background import Background
+    from sycamorenotch_transport._background import PeriodicTask
     from sycamorenotch_transport._background import Turn
     from sycamorenotch_transport._bodies import BytesProducer
     from sycamorenotch_transport._bounded_http import RejectionReason
@@ -30,7 +30,7 @@
 # Modules are imported on first use, so that a gateway does not load the Twisted Web
 # listeners of the daemon, nor a daemon the HTTP/1.1 server of the gateway.
 _MODULES = {
-    "Background": "_background",
+    "PeriodicTask": "_background",
     "Turn": "_background",
     "BytesProducer": "_bodies",
     "ExchangeError": "_http1_client",
@@ -52,7 +52,6 @@
 }
 
 __all__ = [
-    "Background",
     "BytesProducer",
     "ExchangeError",
     "Handler",
@@ -64,6 +63,7 @@
     "HttpRequest",
     "HttpResponse",
     "LiteralResolver",
+    "PeriodicTask",
     "RejectionReason",
     "RejectionResponse",
     "RequestLimits",
--- a/packages/transport/src/sycamorenotch_transport/_background.py
+++ b/packages/transport/src/sycamorenotch_transport/_background.py
@@ -19,7 +19,7 @@
 
 
 @final
-class Background:
+class PeriodicTask:
     """Runs a coroutine function periodically, one call at a time.
 
     :param turn: does the work and returns the delay before the next call.
