--- a/packages/daemon/src/sycamorenotch_daemon/_background.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_background.py
@@ -10,8 +10,8 @@
 from sycamorenotch_kernel import EventSink
 from sycamorenotch_kernel import Severity
 from sycamorenotch_kernel import event
+from sycamorenotch_transport import PeriodicFunction
 from sycamorenotch_transport import PeriodicTask
-from sycamorenotch_transport import Turn
 
 
 @event(4390, "background.turn-failed", Severity.ERROR)
@@ -24,7 +24,7 @@
     error: str
 
 
-def background(reactor: Any, sink: EventSink, turn: Turn) -> PeriodicTask:
+def background(reactor: Any, sink: EventSink, turn: PeriodicFunction) -> PeriodicTask:
     """Return a sequence of turns that reports failures to a sink."""
     return PeriodicTask(
         reactor, turn, lambda name, error: sink.emit(TurnFailed(name, error))
--- a/packages/gateway/src/sycamorenotch_gateway/_node.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_node.py
@@ -18,8 +18,8 @@
 from sycamorenotch_gateway._settings import GatewaySettings
 from sycamorenotch_kernel import EventSink
 from sycamorenotch_kernel import ObjectFeed
+from sycamorenotch_transport import PeriodicFunction
 from sycamorenotch_transport import PeriodicTask
-from sycamorenotch_transport import Turn
 
 T = TypeVar("T")
 
@@ -71,7 +71,7 @@
         """Whether the order to stop has come."""
         return self.stopping_since is not None
 
-    def background(self, turn: Turn) -> PeriodicTask:
+    def background(self, turn: PeriodicFunction) -> PeriodicTask:
         """Return a sequence of turns that reports failures to the log."""
         return PeriodicTask(self.reactor, turn, self._turn_failed)
 
--- a/packages/transport/src/sycamorenotch_transport/__init__.py
+++ b/packages/transport/src/sycamorenotch_transport/__init__.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 if TYPE_CHECKING:
+    from sycamorenotch_transport._background import PeriodicFunction
     from sycamorenotch_transport._background import PeriodicTask
-    from sycamorenotch_transport._background import Turn
     from sycamorenotch_transport._bodies import BytesProducer
     from sycamorenotch_transport._bounded_http import RejectionReason
     from sycamorenotch_transport._bounded_http import RejectionResponse
@@ -31,7 +31,7 @@
 # listeners of the daemon, nor a daemon the HTTP/1.1 server of the gateway.
 _MODULES = {
     "PeriodicTask": "_background",
-    "Turn": "_background",
+    "PeriodicFunction": "_background",
     "BytesProducer": "_bodies",
     "ExchangeError": "_http1_client",
     "Handler": "_http1_server",
@@ -63,11 +63,11 @@
     "HttpRequest",
     "HttpResponse",
     "LiteralResolver",
+    "PeriodicFunction",
     "PeriodicTask",
     "RejectionReason",
     "RejectionResponse",
     "RequestLimits",
-    "Turn",
     "header",
     "install_literal_resolver",
     "without_connection_headers",
--- a/packages/transport/src/sycamorenotch_transport/_background.py
+++ b/packages/transport/src/sycamorenotch_transport/_background.py
@@ -14,7 +14,7 @@
 
 FAILURE_DELAY = timedelta(seconds=5)
 
-Turn = Callable[[], Awaitable[timedelta]]
+PeriodicFunction = Callable[[], Awaitable[timedelta]]
 ReportFailure = Callable[[str, str], None]
 
 
@@ -31,7 +31,7 @@
     def __init__(
         self,
         reactor: Any,
-        turn: Turn,
+        turn: PeriodicFunction,
         report: ReportFailure,
         failure_delay: timedelta = FAILURE_DELAY,
     ) -> None:
