--- a/packages/transport/src/sycamorenotch_transport/__init__.py
+++ b/packages/transport/src/sycamorenotch_transport/__init__.py
@@ -19,7 +19,7 @@
     from sycamorenotch_transport._http1_messages import HttpRequest
     from sycamorenotch_transport._http1_messages import HttpResponse
     from sycamorenotch_transport._http1_messages import header
-    from sycamorenotch_transport._http1_messages import without_connection_headers
+    from sycamorenotch_transport._http1_messages import strip_hop_by_hop_headers
     from sycamorenotch_transport._http1_pool import Http1Pool
     from sycamorenotch_transport._http1_server import Handler
     from sycamorenotch_transport._http1_server import Http1Server
@@ -48,7 +48,7 @@
     "RejectionReason": "_bounded_http",
     "header": "_http1_messages",
     "install_literal_resolver": "_resolver",
-    "without_connection_headers": "_http1_messages",
+    "strip_hop_by_hop_headers": "_http1_messages",
 }
 
 __all__ = [
@@ -70,7 +70,7 @@
     "RequestLimits",
     "header",
     "install_literal_resolver",
-    "without_connection_headers",
+    "strip_hop_by_hop_headers",
 ]
 
 
--- a/packages/transport/src/sycamorenotch_transport/_http1_messages.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_messages.py
@@ -80,7 +80,7 @@
     return next((value for key, value in headers if key.lower() == name), "")
 
 
-def without_connection_headers(headers: HeaderPairs) -> HeaderPairs:
+def strip_hop_by_hop_headers(headers: HeaderPairs) -> HeaderPairs:
     """Remove hop-by-hop headers, including those that ``Connection`` lists."""
     nominated = {
         item.strip().lower()
