--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -140,7 +140,9 @@
         now = self._node.clock()
         service = view.entry.service
         trust = self._workers.trust(service)
-        if error.began or not trust.broke_off(error.idle_s, now - begun, now):
+        if error.response_started or not trust.broke_off(
+            error.idle_s, now - begun, now
+        ):
             return
         idle_s, trusted_s = round(error.idle_s or 0.0, 3), round(trust.bound_s(now), 3)
         self._node.sink.emit(
@@ -153,11 +155,11 @@
         unreachable = not error.connected
         if unreachable:
             self._suspicion.crashed(view.entry.id)
-        elif error.sent and not error.began:
+        elif error.sent and not error.response_started:
             signature = self._suspicion.sign(call)
             self._suspicion.lost(signature, call.id, view.entry.id)
         # An idle connection that ends says nothing about its worker.
-        if unreachable or error.began or error.idle_s is None:
+        if unreachable or error.response_started or error.idle_s is None:
             service = view.entry.service
             now = self._node.clock()
             view.failed(
--- a/packages/transport/src/sycamorenotch_transport/_http1_client.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_client.py
@@ -50,13 +50,13 @@
         sent: bool,
         connected: bool,
         idle_s: float | None = None,
-        began: bool = False,
+        response_started: bool = False,
     ) -> None:
         super().__init__(detail)
         self.sent = sent
         self.connected = connected
         self.idle_s = idle_s
-        self.began = began
+        self.response_started = response_started
 
 
 def match_any(response: HttpResponse) -> bool:
@@ -242,7 +242,7 @@
                     sent=sent,
                     connected=True,
                     idle_s=self.idle_s,
-                    began=self._began,
+                    response_started=self._began,
                 )
             )
 
--- a/testing/transport/test_http1_client.py
+++ b/testing/transport/test_http1_client.py
@@ -138,7 +138,7 @@
     harness.accept()
     harness.answer(OK[:-1])
     harness.end(ConnectionDone())
-    assert harness.error.sent and harness.error.began
+    assert harness.error.sent and harness.error.response_started
 
 
 def test_response_without_length_is_complete_when_the_connection_is_closed(
