--- a/packages/gateway/src/sycamorenotch_gateway/_workers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_workers.py
@@ -182,7 +182,7 @@
             reason = "its entry did not come back after an outage of the store"
             self._node.sink.emit(WorkerRemoved(name, reason, 0))
         for name, pool in self._pools.items():
-            pool.idle_limit = self._idle_share(name)
+            pool.max_idle_connections = self._idle_share(name)
             pool.prune()
         return TICK
 
--- a/packages/transport/src/sycamorenotch_transport/_http1_pool.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_pool.py
@@ -65,7 +65,7 @@
         host, _, port = address.rpartition(":")
         self._host, self._port = host, int(port)
         self._idle: deque[ClientConnection] = deque()
-        self.idle_limit = MAX_IDLE_CONNECTIONS
+        self.max_idle_connections = MAX_IDLE_CONNECTIONS
         self._closed = False
 
     async def exchange(
@@ -107,7 +107,7 @@
         if connection.reusable and not self._closed:
             connection.idle_since = self._clock()
             self._idle.append(connection)
-            while len(self._idle) > self.idle_limit:
+            while len(self._idle) > self.max_idle_connections:
                 self._idle.popleft().abort()
             return
         if connection in self._idle:
