--- a/packages/gateway/src/sycamorenotch_gateway/_front_end.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_front_end.py
@@ -109,7 +109,7 @@
 
     def _configured(self, configuration: ForwardingConfiguration) -> None:
         limits = configuration.limits
-        self._callers.bounds = HttpLimits(
+        self._callers.http_limits = HttpLimits(
             limits.header_bytes,
             limits.body_bytes,
             limits.header_timeout_s,
--- a/packages/transport/src/sycamorenotch_transport/_http1_server.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_server.py
@@ -36,7 +36,7 @@
     def __init__(self, server: Http1Server) -> None:
         self._server = server
         self._http = h11.Connection(
-            h11.SERVER, max_incomplete_event_size=server.bounds.header_bytes
+            h11.SERVER, max_incomplete_event_size=server.http_limits.header_bytes
         )
         self._head: h11.Request | None = None
         self._body: list[bytes] = []
@@ -50,7 +50,7 @@
         """Register the connection and start its idle timeout."""
         self._server.connections.add(self)
         configure_socket(self.transport)
-        self._start_timer(self._server.bounds.idle_timeout_s, self.close)
+        self._start_timer(self._server.http_limits.idle_timeout_s, self.close)
 
     def dataReceived(self, data: bytes) -> None:
         """Feed the parser and handle the next request if none is in progress."""
@@ -59,7 +59,7 @@
         if self.idle:
             self.idle = False
             self._start_timer(
-                self._server.bounds.header_timeout_s, self._on_head_timeout
+                self._server.http_limits.header_timeout_s, self._on_head_timeout
             )
         try:
             self._http.receive_data(data)
@@ -124,10 +124,10 @@
         self._body.append(data)
         self._size += len(data)
         self._server.total_body_bytes += len(data)
-        if self._size > self._server.bounds.body_bytes:
+        if self._size > self._server.http_limits.body_bytes:
             self._reject(413, "the request body is too large")
             return False
-        if self._server.total_body_bytes > self._server.bounds.buffered_bytes:
+        if self._server.total_body_bytes > self._server.http_limits.buffered_bytes:
             self._reject(503, "the buffers for request bodies are full")
             return False
         return True
@@ -172,14 +172,14 @@
         self._head = None
         self.idle = not self._http.trailing_data[0]
         if self.idle:
-            self._start_timer(self._server.bounds.idle_timeout_s, self.close)
+            self._start_timer(self._server.http_limits.idle_timeout_s, self.close)
         else:
             self._server.call_soon(self._parse_next)
 
     def _parse_next(self) -> None:
         if self._handler_fut is None and not self._closing:
             self._start_timer(
-                self._server.bounds.header_timeout_s, self._on_head_timeout
+                self._server.http_limits.header_timeout_s, self._on_head_timeout
             )
             self._parse()
 
@@ -255,13 +255,13 @@
         handler: Handler,
         build_error: BuildErrorResponse,
         report: Report,
-        bounds: HttpLimits | None = None,
+        http_limits: HttpLimits | None = None,
     ) -> None:
         self._reactor = reactor
         self.handler = handler
         self.build_error = build_error
         self.report = report
-        self.bounds = HttpLimits() if bounds is None else bounds
+        self.http_limits = HttpLimits() if http_limits is None else http_limits
         self.connections: set[ServerConnection] = set()
         self.total_body_bytes = 0
         self.draining = False
--- a/testing/transport/test_http1_server.py
+++ b/testing/transport/test_http1_server.py
@@ -20,14 +20,14 @@
 class Harness:
     """A server with one connection, the received requests and their responses."""
 
-    def __init__(self, bounds: HttpLimits | None = None) -> None:
+    def __init__(self, http_limits: HttpLimits | None = None) -> None:
         self.clock = Clock()
         self.requests: list[HttpRequest] = []
         self.answers: list[Deferred[HttpResponse]] = []
         self.cancelled = 0
         self.reports: list[str] = []
         self.server = Http1Server(
-            self.clock, self.handle, build_error, self.reports.append, bounds
+            self.clock, self.handle, build_error, self.reports.append, http_limits
         )
         self.connection = self.server.buildProtocol(None)
         self.transport = StringTransport()
@@ -135,12 +135,12 @@
 
 def test_slow_request_headers_are_answered_with_408(harness) -> None:
     harness.send(GET[:10])
-    harness.clock.advance(harness.server.bounds.header_timeout_s)
+    harness.clock.advance(harness.server.http_limits.header_timeout_s)
     assert harness.written.startswith(b"HTTP/1.1 408")
 
 
 def test_idle_connection_is_closed_after_the_idle_timeout(harness) -> None:
-    harness.clock.advance(harness.server.bounds.idle_timeout_s - 0.1)
+    harness.clock.advance(harness.server.http_limits.idle_timeout_s - 0.1)
     assert not harness.transport.disconnecting
     harness.clock.advance(0.1)
     assert harness.transport.disconnecting
