--- a/packages/transport/src/sycamorenotch_transport/_background.py
+++ b/packages/transport/src/sycamorenotch_transport/_background.py
@@ -22,7 +22,7 @@
 class PeriodicTask:
     """Runs a coroutine function periodically, one call at a time.
 
-    :param turn: does the work and returns the delay before the next call.
+    :param function: does the work and returns the delay before the next call.
     :param report: receives the qualified name of a function that raised, and the
         error.
     :param failure_delay: delay after a call that raised.
@@ -31,12 +31,12 @@
     def __init__(
         self,
         reactor: Any,
-        turn: PeriodicFunction,
+        function: PeriodicFunction,
         report: ReportFailure,
         failure_delay: timedelta = FAILURE_DELAY,
     ) -> None:
         self._reactor = reactor
-        self._turn = turn
+        self._function = function
         self._report = report
         self._failure_delay = failure_delay
         self._run_fut: Deferred[None] | None = None
@@ -65,15 +65,15 @@
             if not self._wake_requested:
                 await self._sleep(delay)
             self._wake_requested = False
-            delay = await self._run_turn()
+            delay = await self._call_function()
 
-    async def _run_turn(self) -> timedelta:
+    async def _call_function(self) -> timedelta:
         try:
-            return await self._turn()
+            return await self._function()
         except CancelledError:
             raise
         except Exception as exc:
-            self._report(self._turn.__qualname__, f"{type(exc).__name__}: {exc}")
+            self._report(self._function.__qualname__, f"{type(exc).__name__}: {exc}")
             return self._failure_delay
 
     async def _sleep(self, delay: timedelta) -> None:
--- a/packages/transport/src/sycamorenotch_transport/_bounded_http.py
+++ b/packages/transport/src/sycamorenotch_transport/_bounded_http.py
@@ -83,12 +83,12 @@
     def gotLength(self, length: int | None) -> None:
         """Reject a ``Content-Length`` beyond the limit."""
         self.content = BytesIO()
-        if length is not None and length > self.channel.bounds.body_bytes:
+        if length is not None and length > self.channel.limits.body_bytes:
             self.channel.reject(RejectionReason.BODY_TOO_LARGE)
 
     def handleContentChunk(self, data: bytes) -> None:
         """Append a chunk, or reject the request if its body exceeds the limit."""
-        if self.content.tell() + len(data) > self.channel.bounds.body_bytes:
+        if self.content.tell() + len(data) > self.channel.limits.body_bytes:
             self.channel.reject(RejectionReason.BODY_TOO_LARGE)
             return
         self.content.write(data)
@@ -98,16 +98,16 @@
 class LimitedChannel(HTTPChannel):
     """Server connection that answers and closes when a request exceeds a limit.
 
-    :param bounds: limits on one request.
+    :param limits: limits on one request.
     :param build_rejection: builds the response to a rejected request.
     """
 
     def __init__(
-        self, reactor: Any, bounds: RequestLimits, build_rejection: BuildRejection
+        self, reactor: Any, limits: RequestLimits, build_rejection: BuildRejection
     ) -> None:
         super().__init__()
-        self.bounds = bounds
-        self.totalHeadersSize = bounds.header_bytes
+        self.limits = limits
+        self.totalHeadersSize = limits.header_bytes
         self._reactor = reactor
         self._build_rejection = build_rejection
         self._rejected = False
@@ -118,7 +118,7 @@
         if self._rejected:
             return None
         if self._receive_timer is None and not self._handlingRequest:
-            limit_s = self.bounds.receive.total_seconds()
+            limit_s = self.limits.receive.total_seconds()
             self._receive_timer = self._reactor.callLater(
                 limit_s, self._on_receive_timeout
             )
--- a/packages/transport/src/sycamorenotch_transport/_http1_client.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_client.py
@@ -87,7 +87,7 @@
         self.idle_since = 0.0
         self.idle_s: float | None = None
         self.reusable = True
-        self._began = False
+        self._response_started = False
 
     def connectionMade(self) -> None:
         """Configure the socket."""
@@ -105,7 +105,7 @@
         :return: fires with the response, or fails with ``ExchangeError``.
         """
         self._matches = matches
-        self._began = False
+        self._response_started = False
         pending: Deferred[HttpResponse] = Deferred(lambda _: self._cancel())
         self._pending = pending
         try:
@@ -127,7 +127,7 @@
             # Unsolicited data would be taken for the response to the next request.
             self.abort()
             return
-        self._began = True
+        self._response_started = True
         self._http.receive_data(data)
         self._parse()
 
@@ -242,7 +242,7 @@
                     sent=sent,
                     connected=True,
                     idle_s=self.idle_s,
-                    response_started=self._began,
+                    response_started=self._response_started,
                 )
             )
 
--- a/packages/transport/src/sycamorenotch_transport/_listeners.py
+++ b/packages/transport/src/sycamorenotch_transport/_listeners.py
@@ -20,7 +20,7 @@
 from sycamorenotch_transport._bounded_http import plain_text_rejection
 
 IDLE_TIMEOUT_S = 60
-DEFAULT_BOUNDS = RequestLimits()
+DEFAULT_LIMITS = RequestLimits()
 
 
 @final
@@ -31,7 +31,7 @@
         address.
     :param address: ``IP:port``.
     :param build_rejection: builds the response to a request that exceeds a limit.
-    :param bounds: limits on one request.
+    :param limits: limits on one request.
     """
 
     def __init__(
@@ -40,12 +40,12 @@
         endpoint: str,
         address: str,
         build_rejection: BuildRejection = plain_text_rejection,
-        bounds: RequestLimits = DEFAULT_BOUNDS,
+        limits: RequestLimits = DEFAULT_LIMITS,
     ) -> None:
         self._reactor = reactor
         self._endpoint = endpoint or _tcp_endpoint(address)
         self._build_rejection = build_rejection
-        self._bounds = bounds
+        self._limits = limits
         self._port: IListeningPort | None = None
         self._open_requests: set[Request] = set()
         self._drained: Deferred[None] | None = None
@@ -81,7 +81,7 @@
         return len(self._open_requests)
 
     def _build_channel(self) -> LimitedChannel:
-        return LimitedChannel(self._reactor, self._bounds, self._build_rejection)
+        return LimitedChannel(self._reactor, self._limits, self._build_rejection)
 
     def _finish(self, req: Request) -> None:
         self._open_requests.discard(req)
--- a/testing/transport/test_bounded_requests.py
+++ b/testing/transport/test_bounded_requests.py
@@ -21,7 +21,7 @@
 from sycamorenotch_transport import HttpListener
 from sycamorenotch_transport import RequestLimits
 
-BOUNDS = RequestLimits(2048, 4096, timedelta(milliseconds=200))
+LIMITS = RequestLimits(2048, 4096, timedelta(milliseconds=200))
 
 
 class Echo(Resource):
@@ -54,7 +54,7 @@
 
 def build_listener() -> HttpListener:
     return HttpListener(
-        reactor, "", "127.0.0.1:0", lambda p: wire_problem(p, "d-1"), BOUNDS
+        reactor, "", "127.0.0.1:0", lambda p: wire_problem(p, "d-1"), LIMITS
     )
 
 
