--- a/packages/transport/src/sycamorenotch_transport/__init__.py
+++ b/packages/transport/src/sycamorenotch_transport/__init__.py
@@ -18,7 +18,7 @@
     from sycamorenotch_transport._http1_messages import HttpLimits
     from sycamorenotch_transport._http1_messages import HttpRequest
     from sycamorenotch_transport._http1_messages import HttpResponse
-    from sycamorenotch_transport._http1_messages import header
+    from sycamorenotch_transport._http1_messages import get_header
     from sycamorenotch_transport._http1_messages import strip_hop_by_hop_headers
     from sycamorenotch_transport._http1_pool import Http1Pool
     from sycamorenotch_transport._http1_server import Handler
@@ -46,7 +46,7 @@
     "RequestLimits": "_bounded_http",
     "RejectionResponse": "_bounded_http",
     "RejectionReason": "_bounded_http",
-    "header": "_http1_messages",
+    "get_header": "_http1_messages",
     "install_literal_resolver": "_resolver",
     "strip_hop_by_hop_headers": "_http1_messages",
 }
@@ -68,7 +68,7 @@
     "RejectionReason",
     "RejectionResponse",
     "RequestLimits",
-    "header",
+    "get_header",
     "install_literal_resolver",
     "strip_hop_by_hop_headers",
 ]
--- a/packages/transport/src/sycamorenotch_transport/_http1_client.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_client.py
@@ -17,7 +17,7 @@
 from sycamorenotch_transport._http1_messages import HttpResponse
 from sycamorenotch_transport._http1_messages import decode_headers
 from sycamorenotch_transport._http1_messages import encode_headers
-from sycamorenotch_transport._http1_messages import header
+from sycamorenotch_transport._http1_messages import get_header
 from sycamorenotch_transport._sockets import configure_socket
 
 MAX_HEAD_BYTES = 65_536
@@ -199,7 +199,7 @@
     def _prepare_reuse(self, response: HttpResponse) -> None:
         """Prepare the connection for another request, or close it."""
         match = KEEP_ALIVE_TIMEOUT_PATTERN.search(
-            header(response.headers, "keep-alive")
+            get_header(response.headers, "keep-alive")
         )
         if match is not None:
             self.max_idle_s = float(match.group(1)) - KEEP_ALIVE_MARGIN_S
--- a/packages/transport/src/sycamorenotch_transport/_http1_messages.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_messages.py
@@ -72,7 +72,7 @@
     buffered_bytes: int = 67_108_864
 
 
-def header(headers: HeaderPairs, name: str) -> str:
+def get_header(headers: HeaderPairs, name: str) -> str:
     """Return the first value of a header, or an empty string.
 
     :param name: header name in lower case.
--- a/testing/platform/fault_soak.py
+++ b/testing/platform/fault_soak.py
@@ -39,7 +39,7 @@
 from sycamorenotch_transport import Http1Pool
 from sycamorenotch_transport import HttpRequest
 from sycamorenotch_transport import HttpResponse
-from sycamorenotch_transport import header
+from sycamorenotch_transport import get_header
 from sycamorenotch_transport import install_literal_resolver
 from sycamorenotch_workbench._example import free_ports
 
@@ -191,10 +191,12 @@
 
     def check_answer(self, attempt: str, kind: str, response: HttpResponse) -> None:
         if response.status == 200:
-            worker = header(response.headers, "x-response-signature").partition(".")[0]
+            worker = get_header(response.headers, "x-response-signature").partition(
+                "."
+            )[0]
             if attempt not in self.ran_at(worker):
                 self.problems.append(f"{attempt}: answered by {worker}, ran elsewhere")
-            if header(response.headers, "x-attempt-id") != attempt:
+            if get_header(response.headers, "x-attempt-id") != attempt:
                 self.problems.append(f"{attempt}: answer to another request")
             if response.body != worker.encode():
                 self.problems.append(f"{attempt}: body of another worker or cut")
@@ -208,7 +210,7 @@
     def check_runs(self) -> None:
         runs = Counter(attempt for worker in self.workers for attempt in worker.ran)
         unsafe = {
-            header(request.headers, "x-attempt-id")
+            get_header(request.headers, "x-attempt-id")
             for worker in self.workers
             for request in worker.requests
             if request.method == "POST"
--- a/testing/platform/standins.py
+++ b/testing/platform/standins.py
@@ -16,7 +16,7 @@
 from sycamorenotch_transport import Http1Server
 from sycamorenotch_transport import HttpRequest
 from sycamorenotch_transport import HttpResponse
-from sycamorenotch_transport import header
+from sycamorenotch_transport import get_header
 
 LOOPBACK = "127.0.0.1:0"
 PAGE = 2
@@ -173,9 +173,9 @@
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
         self.requests.append(request)
-        attempt = header(request.headers, "x-attempt-id")
+        attempt = get_header(request.headers, "x-attempt-id")
         echo = ("X-Attempt-Id", attempt)
-        expected = header(request.headers, "x-expected-instance")
+        expected = get_header(request.headers, "x-expected-instance")
         if self.mode == "stranger" or expected != self.name:
             return HttpResponse(421, (("X-Instance-Id", "i-other"),))
         if self.mode == "shed":
--- a/testing/platform/test_dialect.py
+++ b/testing/platform/test_dialect.py
@@ -14,7 +14,7 @@
 from sycamorenotch_kernel import dialects
 from sycamorenotch_transport import HttpRequest
 from sycamorenotch_transport import HttpResponse
-from sycamorenotch_transport import header
+from sycamorenotch_transport import get_header
 
 SIGNED = ("X-Response-Signature", "1.2.3")
 HEADERS = (
@@ -51,10 +51,10 @@
 
 def test_attempt_names_the_worker_and_the_time_left(dialect, call) -> None:
     sent = dialect.encode_attempt(call, "i-7", 1.5)
-    assert header(sent.headers, "x-expected-instance") == "i-7"
-    assert 1400 <= int(header(sent.headers, "x-remaining-milliseconds")) <= 1500
-    assert header(sent.headers, "x-other") == "kept"
-    assert header(sent.headers, "x-hop") == ""
+    assert get_header(sent.headers, "x-expected-instance") == "i-7"
+    assert 1400 <= int(get_header(sent.headers, "x-remaining-milliseconds")) <= 1500
+    assert get_header(sent.headers, "x-other") == "kept"
+    assert get_header(sent.headers, "x-hop") == ""
     names = [name.lower() for name, _ in sent.headers]
     assert len(names) == len(set(names))
 
@@ -111,7 +111,7 @@
 def test_status_promises_no_more_than_is_known(dialect, kind, ran, status) -> None:
     answer = dialect.encode_refusal("9c41", Refusal(kind, ran, "why", 0.5))
     assert answer.status == status
-    assert bool(header(answer.headers, "retry-after")) == (status == 503)
+    assert bool(get_header(answer.headers, "retry-after")) == (status == 503)
 
 
 def test_lookup_is_decoded_and_encoded(dialect) -> None:
--- a/testing/platform/test_gateway.py
+++ b/testing/platform/test_gateway.py
@@ -9,7 +9,7 @@
 from twisted.internet.task import deferLater
 
 from sycamorenotch_policies import _idle_trust
-from sycamorenotch_transport import header
+from sycamorenotch_transport import get_header
 
 
 def ran(site) -> list[str]:
@@ -20,10 +20,10 @@
     async def scenario(site) -> None:
         answer = await site.call("/safe/1?q=%20a")
         assert answer.status == 200
-        assert header(answer.headers, "x-response-signature").startswith("i-")
+        assert get_header(answer.headers, "x-response-signature").startswith("i-")
         (request,) = [r for w in site.workers for r in w.requests]
         assert request.target == "/safe/1?q=%20a"
-        assert header(request.headers, "x-attempt-id") == "t1"
+        assert get_header(request.headers, "x-attempt-id") == "t1"
 
     on_site(scenario)
 
@@ -60,7 +60,7 @@
     async def scenario(site) -> None:
         answer = await site.call("/once/1")
         assert answer.status == 503
-        assert float(header(answer.headers, "retry-after")) > 0
+        assert float(get_header(answer.headers, "retry-after")) > 0
         assert ran(site) == []
 
     on_site(scenario, mode="shed")
@@ -96,7 +96,7 @@
     async def scenario(site) -> None:
         answer = await site.call()
         assert answer.status == 500
-        assert header(answer.headers, "x-response-signature")
+        assert get_header(answer.headers, "x-response-signature")
 
     on_site(scenario, count=1, mode="fail")
 
@@ -105,7 +105,7 @@
     async def scenario(site) -> None:
         answer = await site.call("/once/1")
         assert answer.status == 500
-        assert header(answer.headers, "x-response-signature")
+        assert get_header(answer.headers, "x-response-signature")
         assert len(ran(site)) == 1
 
     on_site(scenario, mode="fail")
@@ -192,7 +192,7 @@
         assert (await site.ask("readiness", "/api/readiness")).status == 503
         answer = await site.call()
         assert answer.status == 200
-        assert header(answer.headers, "connection") == "close"
+        assert get_header(answer.headers, "connection") == "close"
         await stopping
 
     on_site(scenario)
--- a/testing/transport/test_http1_client.py
+++ b/testing/transport/test_http1_client.py
@@ -14,7 +14,7 @@
 from sycamorenotch_transport import ExchangeError
 from sycamorenotch_transport import Http1Pool
 from sycamorenotch_transport import HttpRequest
-from sycamorenotch_transport import header
+from sycamorenotch_transport import get_header
 
 REQUEST = HttpRequest("GET", "/a", (("Host", "h"), ("X-Id", "7")))
 OK = b"HTTP/1.1 200 OK\r\nX-Id: 7\r\nContent-Length: 2\r\n\r\nhi"
@@ -126,7 +126,9 @@
 
 
 def test_response_to_another_request_is_discarded(harness) -> None:
-    harness.exchange(matches=lambda response: header(response.headers, "x-id") == "7")
+    harness.exchange(
+        matches=lambda response: get_header(response.headers, "x-id") == "7"
+    )
     transport = harness.accept()
     harness.answer(OK.replace(b"X-Id: 7", b"X-Id: 6").replace(b"hi", b"no") + OK)
     assert harness.results[0].body == b"hi"
