--- a/packages/standins/src/sycamorenotch_standins/__init__.py
+++ b/packages/standins/src/sycamorenotch_standins/__init__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sycamorenotch_standins._faults import FaultSwitch
+from sycamorenotch_standins._faults import FaultInjector
 from sycamorenotch_standins._limited_site import LimitedSite
 from sycamorenotch_standins._memory import MemoryStore
 from sycamorenotch_standins._objects import ObjectTable
@@ -10,7 +10,7 @@
 from sycamorenotch_standins._upstream import UpstreamWorker
 
 __all__ = [
-    "FaultSwitch",
+    "FaultInjector",
     "LimitedSite",
     "MemoryStore",
     "ObjectTable",
--- a/packages/standins/src/sycamorenotch_standins/_faults.py
+++ b/packages/standins/src/sycamorenotch_standins/_faults.py
@@ -48,7 +48,7 @@
 
 
 @final
-class FaultSwitch:
+class FaultInjector:
     """Holds the current fault and the number of requests it still affects."""
 
     def __init__(self) -> None:
--- a/packages/standins/src/sycamorenotch_standins/_memory.py
+++ b/packages/standins/src/sycamorenotch_standins/_memory.py
@@ -19,7 +19,7 @@
 from sycamorenotch_kernel import StoreFault
 from sycamorenotch_kernel import Version
 from sycamorenotch_kernel import store_adapters
-from sycamorenotch_standins._faults import FaultSwitch
+from sycamorenotch_standins._faults import FaultInjector
 from sycamorenotch_standins._objects import ObjectTable
 
 
@@ -34,7 +34,7 @@
 
     def __init__(self, table: ObjectTable, reactor: IReactorTime) -> None:
         self.table = table
-        self.fault = FaultSwitch()
+        self.fault = FaultInjector()
         self.listed: tuple[ListedInstance, ...] = ()
         self._reactor = reactor
 
--- a/packages/standins/src/sycamorenotch_standins/_store_api.py
+++ b/packages/standins/src/sycamorenotch_standins/_store_api.py
@@ -22,7 +22,7 @@
 from sycamorenotch_kernel import StoreError
 from sycamorenotch_kernel import StoreFault
 from sycamorenotch_kernel import Version
-from sycamorenotch_standins._faults import FaultSwitch
+from sycamorenotch_standins._faults import FaultInjector
 from sycamorenotch_standins._faults import StoreFaultRequest
 from sycamorenotch_standins._objects import ObjectTable
 
@@ -57,7 +57,7 @@
 
     def __init__(self, table: ObjectTable, reactor: IReactorTime) -> None:
         self.table = table
-        self.fault = FaultSwitch()
+        self.fault = FaultInjector()
         self.calls: Counter[str] = Counter()
         self.instances: dict[str, dict[str, Any]] = {}
         self._reactor = reactor
--- a/packages/standins/src/sycamorenotch_standins/_upstream.py
+++ b/packages/standins/src/sycamorenotch_standins/_upstream.py
@@ -14,7 +14,7 @@
 from twisted.web.http import Request
 from twisted.web.server import NOT_DONE_YET
 
-from sycamorenotch_standins._faults import FaultSwitch
+from sycamorenotch_standins._faults import FaultInjector
 from sycamorenotch_standins._faults import UpstreamFaultRequest
 
 NOT_RUN_HEADER = "Request-Ran"
@@ -45,7 +45,7 @@
         self.name = name
         self.slots = slots
         self.service_time = service_time
-        self.fault = FaultSwitch()
+        self.fault = FaultInjector()
         self.executions: Counter[str] = Counter()
         self.running = 0
         self.served = 0
--- a/testing/daemon/test_store_adapters.py
+++ b/testing/daemon/test_store_adapters.py
@@ -23,7 +23,7 @@
 from sycamorenotch_kernel import Version
 from sycamorenotch_standins import ObjectTable
 from sycamorenotch_standins import StoreApi
-from sycamorenotch_standins._faults import FaultSwitch
+from sycamorenotch_standins._faults import FaultInjector
 from sycamorenotch_standins._memory import MemoryStore
 
 SOON = timedelta(seconds=5)
@@ -34,7 +34,7 @@
 class Rig:
     store: StoreGuard
     table: ObjectTable
-    fault: FaultSwitch
+    fault: FaultInjector
 
 
 def guard(adapter: Any) -> StoreGuard:
