--- a/packages/cli/src/sycamorenotch_cli/_burn_merge.py
+++ b/packages/cli/src/sycamorenotch_cli/_burn_merge.py
@@ -76,10 +76,10 @@
         return raised_alarms(self.target, self.counts)
 
 
-def merge(answers: Iterable[BurnModel]) -> tuple[MergedObjective, ...]:
+def merge(responses: Iterable[BurnModel]) -> tuple[MergedObjective, ...]:
     """Return each objective with the summed counts of all instances."""
     grouped: dict[tuple[str, str], list[ObjectiveModel]] = {}
-    for item in chain.from_iterable(answer.objectives for answer in answers):
+    for item in chain.from_iterable(response.objectives for response in responses):
         grouped.setdefault((item.service, item.rank), []).append(item)
     return tuple(_merge_objective(parts) for parts in grouped.values())
 
--- a/packages/cli/src/sycamorenotch_cli/_burn_report.py
+++ b/packages/cli/src/sycamorenotch_cli/_burn_report.py
@@ -23,7 +23,7 @@
     found = await query_fleet(invocation.connect(), "/v1/burn", BurnModel)
     if found.is_error():
         return error_outcome(found.error)
-    objectives, summary = merge(found.ok.answers.values()), found.ok.summary
+    objectives, summary = merge(found.ok.responses.values()), found.ok.summary
     code = ExitCode.PARTIAL if found.ok.missing else ExitCode.OK
     data = {
         "missing": found.ok.missing,
--- a/packages/cli/src/sycamorenotch_cli/_explain.py
+++ b/packages/cli/src/sycamorenotch_cli/_explain.py
@@ -32,11 +32,11 @@
     found = await query_fleet(invocation.connect(), path, DecisionModel)
     if found.is_error():
         return error_outcome(found.error)
-    if not found.ok.answers:
+    if not found.ok.responses:
         detail = f"no instance keeps a record of {decision}; {found.ok.summary}"
         code = ExitCode.PARTIAL if found.ok.missing else ExitCode.NOT_FOUND
         return Outcome(code, detail, {"error": detail, "missing": found.ok.missing})
-    instance, record = next(iter(found.ok.answers.items()))
+    instance, record = next(iter(found.ok.responses.items()))
     data = {"instance": instance, **record.model_dump(mode="json")}
     return Outcome(ExitCode.OK, _format_record(instance, record), data)
 
@@ -48,18 +48,18 @@
         detail = f"a log file cannot be read: {exc}"
         return Outcome(ExitCode.USAGE, detail, {"error": detail})
     cause = describe_cause(trace)
-    own = (*trace.attempts, *([] if trace.outcome is None else [trace.outcome]))
+    event_lines = (*trace.attempts, *([] if trace.outcome is None else [trace.outcome]))
     lines = [f"Request {request}", f"Cause: {cause}", "Decisions:"]
-    lines += [f"  {line}" for line in own]
+    lines += [f"  {line}" for line in event_lines]
     if trace.context:
         lines += ["Shortly before:", *(f"  {line}" for line in trace.context)]
     data = {
         "request": request,
         "cause": cause,
-        "decisions": [asdict(line) for line in own],
+        "decisions": [asdict(line) for line in event_lines],
         "context": [asdict(line) for line in trace.context],
     }
-    code = ExitCode.OK if own else ExitCode.NOT_FOUND
+    code = ExitCode.OK if event_lines else ExitCode.NOT_FOUND
     return Outcome(code, "\n".join(lines), data)
 
 
--- a/packages/cli/src/sycamorenotch_cli/_fleet.py
+++ b/packages/cli/src/sycamorenotch_cli/_fleet.py
@@ -31,12 +31,12 @@
     """Responses of the instances.
 
     :param listed: the instance list of the first instance.
-    :param answers: responses by instance.
+    :param responses: responses by instance.
     :param errors: errors of the other instances, by instance.
     """
 
     listed: tuple[InstanceModel, ...]
-    answers: dict[str, M]
+    responses: dict[str, M]
     errors: dict[str, ApiError]
 
     @property
@@ -49,8 +49,8 @@
         """Sentence on how many instances responded, for display."""
         count = len(self.listed) - len(self.missing)
         text = f"{count} of {len(self.listed)} instances answered"
-        missing = ", ".join(self.missing)
-        return f"{text}; missing: {missing}" if missing else text
+        names = ", ".join(self.missing)
+        return f"{text}; missing: {names}" if names else text
 
 
 async def query_fleet(
@@ -80,7 +80,7 @@
     return Ok(
         FleetResponses(
             listed=listed,
-            answers={name: r.ok for name, r in pairs if r.is_ok()},
+            responses={name: r.ok for name, r in pairs if r.is_ok()},
             errors={name: r.error for name, r in pairs if r.is_error()},
         )
     )
--- a/packages/cli/src/sycamorenotch_cli/_request_trace.py
+++ b/packages/cli/src/sycamorenotch_cli/_request_trace.py
@@ -45,13 +45,17 @@
 
 def trace_request(lines: tuple[LogLine, ...], request: str) -> RequestTrace:
     """Collect the log lines that concern a request."""
-    own = tuple(line for line in lines if line.request == request)
-    outcome = next((line for line in reversed(own) if line.name in FINAL_EVENTS), None)
-    attempts = tuple(line for line in own if line.name == "request.attempt-failed")
-    if not own:
+    request_lines = tuple(line for line in lines if line.request == request)
+    outcome = next(
+        (line for line in reversed(request_lines) if line.name in FINAL_EVENTS), None
+    )
+    attempts = tuple(
+        line for line in request_lines if line.name == "request.attempt-failed"
+    )
+    if not request_lines:
         return RequestTrace(None, (), ())
-    end_s, instance = own[-1].at, own[-1].instance
-    workers = {line.worker for line in own if line.worker}
+    end_s, instance = request_lines[-1].at, request_lines[-1].instance
+    workers = {line.worker for line in request_lines if line.worker}
     recent = (line for line in lines if end_s - CONTEXT_WINDOW_S <= line.at <= end_s)
     context = tuple(
         line
--- a/packages/cli/src/sycamorenotch_cli/_status.py
+++ b/packages/cli/src/sycamorenotch_cli/_status.py
@@ -26,8 +26,8 @@
     if found.is_error():
         return error_outcome(found.error)
     fleet = found.ok
-    newest = max((item.generation for item in fleet.answers.values()), default=0)
-    current = sum(item.generation == newest for item in fleet.answers.values())
+    newest = max((item.generation for item in fleet.responses.values()), default=0)
+    current = sum(item.generation == newest for item in fleet.responses.values())
     head = ("instance", "region", "data centre", "state", "generation", "violations")
     rows = [_row(fleet, item) for item in fleet.listed]
     summary = f"generation {newest} is in force on {current} of {len(rows)} instances"
@@ -38,22 +38,24 @@
         "in_force": current,
         "instances": len(rows),
         "missing": fleet.missing,
-        "answers": {n: a.model_dump(mode="json") for n, a in fleet.answers.items()},
+        "answers": {n: a.model_dump(mode="json") for n, a in fleet.responses.items()},
     }
     return Outcome(code, "\n".join(lines), data)
 
 
 def _row(fleet: FleetResponses[StatusModel], item: InstanceModel) -> tuple[object, ...]:
     place = (item.id, item.region, item.data_centre)
-    answer = fleet.answers.get(item.id)
-    if answer is None:
+    response = fleet.responses.get(item.id)
+    if response is None:
         return (*place, "no answer", "-", "-")
-    state = "leaving" if answer.stopping else item.state
-    return (*place, state, answer.generation, sum(answer.violations.values()))
+    state = "leaving" if response.stopping else item.state
+    return (*place, state, response.generation, sum(response.violations.values()))
 
 
 def _drain_lines(fleet: FleetResponses[StatusModel]) -> list[str]:
-    newest = max(fleet.answers.values(), key=lambda item: item.generation, default=None)
+    newest = max(
+        fleet.responses.values(), key=lambda item: item.generation, default=None
+    )
     if newest is None:
         return []
     return [f"drained: {d.kind} {d.name}, by {d.author}" for d in newest.drains]
--- a/packages/cli/src/sycamorenotch_cli/_waiting.py
+++ b/packages/cli/src/sycamorenotch_cli/_waiting.py
@@ -37,8 +37,8 @@
         """The rollout status, for display."""
         count = self.total - len(self.behind)
         text = f"generation {self.generation} is in force on {count} of {self.total}"
-        named = ", ".join(self.behind)
-        return f"{text} instances" + (f"; not on {named}" if named else "")
+        names = ", ".join(self.behind)
+        return f"{text} instances" + (f"; not on {names}" if names else "")
 
 
 async def wait_in_force(invocation: Invocation, generation: int) -> Outcome:
@@ -76,10 +76,10 @@
     found = await query_fleet(client, "/v1/status", StatusModel)
     if found.is_error():
         return RolloutStatus(generation, 1, (client.url,))
-    answers = found.ok.answers
+    responses = found.ok.responses
     behind = tuple(
         item.id
         for item in found.ok.listed
-        if item.id not in answers or answers[item.id].generation < generation
+        if item.id not in responses or responses[item.id].generation < generation
     )
     return RolloutStatus(generation, len(found.ok.listed), behind)
--- a/packages/cli/src/sycamorenotch_cli/main.py
+++ b/packages/cli/src/sycamorenotch_cli/main.py
@@ -56,11 +56,11 @@
     """Run the command that the arguments name."""
     # Flags may follow the command's name and arguments.
     flags.FLAGS.set_gnu_getopt(True)
-    words = [word for word in sys.argv[1:] if not word.startswith("-")]
-    if any(word in HELP_WORDS for word in sys.argv[1:]) or not words:
+    positionals = [arg for arg in sys.argv[1:] if not arg.startswith("-")]
+    if any(arg in HELP_WORDS for arg in sys.argv[1:]) or not positionals:
         load_plugins()
-        print(_help(words))
-        sys.exit(ExitCode.OK if words or len(sys.argv) > 1 else ExitCode.USAGE)
+        print(_help(positionals))
+        sys.exit(ExitCode.OK if positionals or len(sys.argv) > 1 else ExitCode.USAGE)
     app.run(_run, flags_parser=_parse_flags)
 
 
@@ -148,8 +148,8 @@
     return OperatorsClient(OPERATORS.value, token)
 
 
-def _help(words: list[str]) -> str:
-    named = [word for word in words if word in commands]
+def _help(positionals: list[str]) -> str:
+    named = [arg for arg in positionals if arg in commands]
     if named:
         found = commands.get(named[0])
         usage = f"usage: sycamorenotch {named[0]} {found.usage}".rstrip()
--- a/packages/standins/src/sycamorenotch_standins/_memory.py
+++ b/packages/standins/src/sycamorenotch_standins/_memory.py
@@ -124,4 +124,4 @@
 
 
 def _unknown() -> Result[Any, StoreError]:
-    return Error(StoreError(StoreFault.UNKNOWN, "the answer was lost"))
+    return Error(StoreError(StoreFault.UNKNOWN, "the response was lost"))
--- a/packages/standins/src/sycamorenotch_standins/_upstream.py
+++ b/packages/standins/src/sycamorenotch_standins/_upstream.py
@@ -133,7 +133,7 @@
         )
 
     def _build_body(self, req: Request, path: str) -> bytes:
-        answer = {
+        payload = {
             "worker": self.name,
             "method": req.method.decode(),
             "path": f"/{path}",
@@ -141,7 +141,7 @@
             "request_id": req.getHeader("Request-Id"),
             "served": self.served,
         }
-        return json.dumps(answer).encode()
+        return json.dumps(payload).encode()
 
 
 def _json(req: Request, body: object) -> bytes:
--- a/testing/transport/test_http1_client.py
+++ b/testing/transport/test_http1_client.py
@@ -56,7 +56,7 @@
         protocol.makeConnection(transport)
         return transport
 
-    def answer(self, data: bytes, number: int = -1) -> None:
+    def respond(self, data: bytes, number: int = -1) -> None:
         self.protocols[number].dataReceived(data)
 
     def end(self, reason: Exception, number: int = -1) -> None:
@@ -81,7 +81,7 @@
 def test_connection_is_reused_when_the_response_is_complete(harness) -> None:
     harness.exchange()
     harness.accept()
-    harness.answer(OK)
+    harness.respond(OK)
     harness.exchange()
     assert len(harness.reactor.tcpClients) == 1
     assert harness.results[0].body == b"hi"
@@ -90,7 +90,7 @@
 def test_connection_is_not_reused_when_it_was_idle_too_long(harness) -> None:
     harness.exchange()
     harness.accept()
-    harness.answer(OK.replace(b"X-Id", b"Keep-Alive: timeout=5\r\nX-Id"))
+    harness.respond(OK.replace(b"X-Id", b"Keep-Alive: timeout=5\r\nX-Id"))
     harness.reactor.advance(4.1)
     harness.exchange()
     assert len(harness.reactor.tcpClients) == 2
@@ -99,7 +99,7 @@
 def test_error_states_how_long_the_connection_was_idle(harness) -> None:
     harness.exchange()
     harness.accept()
-    harness.answer(OK)
+    harness.respond(OK)
     harness.reactor.advance(1.5)
     harness.exchange()
     harness.end(ConnectionLost())
@@ -110,7 +110,7 @@
 def test_connection_is_closed_when_data_follows_the_response(harness, extra) -> None:
     harness.exchange()
     transport = harness.accept()
-    harness.answer(OK + extra)
+    harness.respond(OK + extra)
     assert harness.results[0].body == b"hi"
     assert transport.aborted
 
@@ -118,8 +118,8 @@
 def test_connection_is_closed_when_data_arrives_while_idle(harness) -> None:
     harness.exchange()
     transport = harness.accept()
-    harness.answer(OK)
-    harness.answer(OK)
+    harness.respond(OK)
+    harness.respond(OK)
     assert transport.aborted
     harness.exchange()
     assert len(harness.reactor.tcpClients) == 2
@@ -130,7 +130,7 @@
         matches=lambda response: get_header(response.headers, "x-id") == "7"
     )
     transport = harness.accept()
-    harness.answer(OK.replace(b"X-Id: 7", b"X-Id: 6").replace(b"hi", b"no") + OK)
+    harness.respond(OK.replace(b"X-Id: 7", b"X-Id: 6").replace(b"hi", b"no") + OK)
     assert harness.results[0].body == b"hi"
     assert transport.disconnecting
 
@@ -138,7 +138,7 @@
 def test_truncated_response_fails_with_the_request_marked_as_sent(harness) -> None:
     harness.exchange()
     harness.accept()
-    harness.answer(OK[:-1])
+    harness.respond(OK[:-1])
     harness.end(ConnectionDone())
     assert harness.error.sent and harness.error.response_started
 
@@ -148,7 +148,7 @@
 ) -> None:
     harness.exchange()
     harness.accept()
-    harness.answer(b"HTTP/1.1 200 OK\r\n\r\nhello")
+    harness.respond(b"HTTP/1.1 200 OK\r\n\r\nhello")
     harness.end(ConnectionDone())
     assert harness.results[0].body == b"hello"
 
@@ -156,7 +156,7 @@
 def test_response_without_length_fails_when_the_connection_is_reset(harness) -> None:
     harness.exchange()
     harness.accept()
-    harness.answer(b"HTTP/1.1 200 OK\r\n\r\nhello")
+    harness.respond(b"HTTP/1.1 200 OK\r\n\r\nhello")
     harness.end(ConnectionLost())
     assert harness.error.sent
 
@@ -164,7 +164,7 @@
 def test_malformed_response_fails_and_closes_the_connection(harness) -> None:
     harness.exchange()
     transport = harness.accept()
-    harness.answer(b"\x00\x01nonsense\r\n\r\n")
+    harness.respond(b"\x00\x01nonsense\r\n\r\n")
     assert harness.error.sent
     assert transport.aborted
 
--- a/testing/transport/test_http1_server.py
+++ b/testing/transport/test_http1_server.py
@@ -23,7 +23,7 @@
     def __init__(self, http_limits: HttpLimits | None = None) -> None:
         self.clock = Clock()
         self.requests: list[HttpRequest] = []
-        self.answers: list[Deferred[HttpResponse]] = []
+        self.responses: list[Deferred[HttpResponse]] = []
         self.cancelled = 0
         self.reports: list[str] = []
         self.server = Http1Server(
@@ -35,9 +35,9 @@
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         self.requests.append(request)
-        answer: Deferred[HttpResponse] = Deferred(lambda _: self.cancel())
-        self.answers.append(answer)
-        return await answer
+        response: Deferred[HttpResponse] = Deferred(lambda _: self.cancel())
+        self.responses.append(response)
+        return await response
 
     def cancel(self) -> None:
         self.cancelled += 1
@@ -81,9 +81,9 @@
 def test_responses_keep_the_order_of_pipelined_requests(harness) -> None:
     harness.send(GET + GET.replace(b"/a", b"/z"))
     assert len(harness.requests) == 1
-    harness.answers[0].callback(HttpResponse(200, body=b"one"))
+    harness.responses[0].callback(HttpResponse(200, body=b"one"))
     harness.clock.advance(0)
-    harness.answers[1].callback(HttpResponse(200, body=b"two"))
+    harness.responses[1].callback(HttpResponse(200, body=b"two"))
     assert harness.written.index(b"one") < harness.written.index(b"two")
 
 
@@ -95,7 +95,7 @@
 
 def test_response_to_head_has_no_body(harness) -> None:
     harness.send(GET.replace(b"GET", b"HEAD"))
-    harness.answers[0].callback(HttpResponse(200, body=b"abc"))
+    harness.responses[0].callback(HttpResponse(200, body=b"abc"))
     assert harness.written.endswith(b"\r\n\r\n")
     assert b"Content-Length: 3" in harness.written
 
@@ -103,14 +103,14 @@
 def test_response_closes_the_connection_when_the_server_is_draining(harness) -> None:
     harness.send(GET)
     harness.server.draining = True
-    harness.answers[0].callback(HttpResponse(200))
+    harness.responses[0].callback(HttpResponse(200))
     assert b"Connection: close" in harness.written
     assert harness.transport.disconnecting
 
 
 def test_connection_stays_open_for_another_request(harness) -> None:
     harness.send(GET)
-    harness.answers[0].callback(HttpResponse(200))
+    harness.responses[0].callback(HttpResponse(200))
     assert not harness.transport.disconnecting
     harness.send(GET)
     assert len(harness.requests) == 2
@@ -148,7 +148,7 @@
 
 def test_failed_handler_is_answered_with_500_and_reported(harness) -> None:
     harness.send(GET)
-    harness.answers[0].errback(ValueError("broken"))
+    harness.responses[0].errback(ValueError("broken"))
     assert harness.written.startswith(b"HTTP/1.1 500")
     assert harness.reports == ["broken"]
 
