--- a/packages/daemon/src/sycamorenotch_daemon/_configuration.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_configuration.py
@@ -92,7 +92,7 @@
     def is_ready(self) -> bool:
         """Return whether a configuration is in force that no peer contradicts."""
         generation = self._node.configuration.generation
-        return self._confirmation.judge(generation, len(self._mesh.connected()))
+        return self._confirmation.try_confirm(generation, len(self._mesh.connected()))
 
     async def _read(self) -> None:
         name = self._node.settings.environment
@@ -129,7 +129,7 @@
         if stored.version < in_force:
             self._node.sink.emit(StoreBehind(stored.version, in_force))
             return
-        self._confirmation.store_gave()
+        self._confirmation.record_store_read()
         self._put(ConfigurationText.of(stored.version, stored.value))
 
     def _put(self, candidate: ConfigurationText) -> None:
@@ -146,12 +146,12 @@
             sent = self._pushed.get(peer.instance, 0)
             base = max(sent, known.get(peer.instance, 0))
             if peer.data_centre == centre and base < generation:
-                push = self._history.push_to(base)
+                push = self._history.make_push(base)
                 if push is not None and self._mesh.send(peer.instance, push):
                     self._pushed[peer.instance] = generation
 
     def _on_heartbeat(self, peer: PeerIdentity, message: Heartbeat) -> None:
-        self._confirmation.peer_stated(peer.instance, message.generation)
+        self._confirmation.record_peer_generation(peer.instance, message.generation)
         current = self._node.configuration.current
         generation = self._node.configuration.generation
         if message.generation > generation:
@@ -170,14 +170,14 @@
             self._requested_at = now
 
     def _on_request(self, peer: PeerIdentity, message: ConfigurationRequest) -> None:
-        push = self._history.push_to(message.generation)
+        push = self._history.make_push(message.generation)
         if push is not None:
             self._mesh.send(peer.instance, push)
 
     def _on_push(self, peer: PeerIdentity, message: ConfigurationPush) -> None:
         if message.generation <= self._node.configuration.generation:
             return
-        text = self._history.text_of(message)
+        text = self._history.apply_push(message)
         if text is not None:
             self._put(text)
         elif message.base:
--- a/packages/gateway/src/sycamorenotch_gateway/_peers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_peers.py
@@ -23,10 +23,10 @@
 from sycamorenotch_kernel import Resources
 from sycamorenotch_kernel import Topic
 from sycamorenotch_kernel import gateway_components
-from sycamorenotch_policies import Beat
+from sycamorenotch_policies import Heartbeat
 from sycamorenotch_policies import Liveness
 from sycamorenotch_policies import UsageMeter
-from sycamorenotch_policies import beat_interval_s
+from sycamorenotch_policies import heartbeat_interval_s
 
 # Largest datagram that is read; a beat is far smaller.
 DATAGRAM_BYTES = 2_048
@@ -106,7 +106,7 @@
         """Live instances, this one included."""
         return 1 + len(self.liveness.live(self._node.clock()))
 
-    def serving(self) -> tuple[Beat, ...]:
+    def serving(self) -> tuple[Heartbeat, ...]:
         """Return the beats of instances that take requests, this one included."""
         others = self.liveness.serving(self._node.clock())
         return (*others, self._own_beat()) if self.ready else others
@@ -116,9 +116,9 @@
         """What this instance used of its machine lately."""
         return self.usage.read(self._node.clock(), self._node.processor_clock())
 
-    def _own_beat(self) -> Beat:
+    def _own_beat(self) -> Heartbeat:
         has = self._node.settings.resources
-        return Beat(self.entry, self._sequence, self.ready, has, self.uses)
+        return Heartbeat(self.entry, self._sequence, self.ready, has, self.uses)
 
     def tell_now(self) -> None:
         """Tell every peer at once, after a change of this instance's state."""
@@ -135,19 +135,19 @@
         self._suspicion.merge(strikes)
         if beat is None:
             return
-        if self.liveness.hear(beat, self._node.clock()):
+        if self.liveness.observe(beat, self._node.clock()):
             self._node.sink.emit(PeerJoined(beat.entry.id, self.live_count))
             self._send(self._message(whole=True), beat.entry)
 
     async def _beat(self) -> timedelta:
         self._send_beats()
-        for name in self.liveness.lost(self._node.clock()):
+        for name in self.liveness.remove_silent(self._node.clock()):
             self._node.sink.emit(PeerLost(name, self.live_count))
-        return timedelta(seconds=beat_interval_s(len(self.liveness.contacts())))
+        return timedelta(seconds=heartbeat_interval_s(len(self.liveness.recipients())))
 
     def _send_beats(self, *, whole: bool = False) -> None:
         message = self._message(whole=whole)
-        for entry in self.liveness.contacts():
+        for entry in self.liveness.recipients():
             self._send(message, entry)
 
     def _message(self, *, whole: bool = False) -> bytes:
@@ -174,7 +174,7 @@
         if found.is_error():
             return self._pause(found.error.detail)
         self._failures = 0
-        self.liveness.know(
+        self.liveness.set_entries(
             item.value for item in found.ok.items if item.value is not None
         )
         self._send_beats(whole=True)
