--- a/packages/transport/src/sycamorenotch_transport/_http1_pool.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_pool.py
@@ -19,7 +19,7 @@
 from sycamorenotch_transport._http1_messages import HttpRequest
 from sycamorenotch_transport._http1_messages import HttpResponse
 
-# Default of ``Http1Pool.idle_limit``.
+# Default of ``Http1Pool.max_idle_connections``.
 MAX_IDLE_CONNECTIONS = 16
 
 
