--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -144,7 +144,7 @@
         now = self._node.clock()
         service = view.entry.service
         idle_timeout = self._workers.idle_timeout(service)
-        if error.began or not idle_timeout.record_close(
+        if error.response_started or not idle_timeout.record_close(
             error.idle_s, now - started_at, now
         ):
             return
@@ -162,11 +162,11 @@
         unreachable = not error.connected
         if unreachable:
             self._suspicion.record_crash(view.entry.id)
-        elif error.sent and not error.began:
+        elif error.sent and not error.response_started:
             signature = self._suspicion.signature_of(call)
             self._suspicion.record_lost_request(signature, call.id, view.entry.id)
         # A reused idle connection that breaks says nothing about its worker.
-        if unreachable or error.began or error.idle_s is None:
+        if unreachable or error.response_started or error.idle_s is None:
             service = view.entry.service
             now = self._node.clock()
             view.record_failure(
--- a/packages/gateway/src/sycamorenotch_gateway/_node.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_node.py
@@ -18,8 +18,8 @@
 from sycamorenotch_gateway._settings import GatewaySettings
 from sycamorenotch_kernel import EventSink
 from sycamorenotch_kernel import ObjectFeed
-from sycamorenotch_transport import Background
-from sycamorenotch_transport import Turn
+from sycamorenotch_transport import PeriodicFunction
+from sycamorenotch_transport import PeriodicTask
 
 T = TypeVar("T")
 
@@ -71,9 +71,9 @@
         """Whether the shutdown has begun."""
         return self.stopping_since is not None
 
-    def background(self, turn: Turn) -> Background:
+    def background(self, turn: PeriodicFunction) -> PeriodicTask:
         """Return a background task that logs the failures of its turns."""
-        return Background(self.reactor, turn, self._report_turn_failure)
+        return PeriodicTask(self.reactor, turn, self._report_turn_failure)
 
     def provide(self, kind: type[T], value: T) -> None:
         """Register a service for the components that are built later."""
--- a/packages/transport/src/sycamorenotch_transport/__init__.py
+++ b/packages/transport/src/sycamorenotch_transport/__init__.py
@@ -1,4 +1,4 @@
-"""Twisted listeners, HTTP/1.1 connections and name resolution for the programs."""
+"""Twisted listeners, HTTP/1.1 client and server, and name resolution."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from typing import Any
 
 if TYPE_CHECKING:
-    from sycamorenotch_transport._background import Background
-    from sycamorenotch_transport._background import Turn
+    from sycamorenotch_transport._background import PeriodicFunction
+    from sycamorenotch_transport._background import PeriodicTask
     from sycamorenotch_transport._bodies import BytesProducer
-    from sycamorenotch_transport._bounded_http import RequestBounds
-    from sycamorenotch_transport._bounded_http import WireAnswer
-    from sycamorenotch_transport._bounded_http import WireProblem
+    from sycamorenotch_transport._bounded_http import RejectionReason
+    from sycamorenotch_transport._bounded_http import RejectionResponse
+    from sycamorenotch_transport._bounded_http import RequestLimits
     from sycamorenotch_transport._http1_client import ExchangeError
     from sycamorenotch_transport._http1_messages import HeaderPairs
-    from sycamorenotch_transport._http1_messages import HttpBounds
+    from sycamorenotch_transport._http1_messages import HttpLimits
     from sycamorenotch_transport._http1_messages import HttpRequest
     from sycamorenotch_transport._http1_messages import HttpResponse
-    from sycamorenotch_transport._http1_messages import header
-    from sycamorenotch_transport._http1_messages import without_connection_headers
+    from sycamorenotch_transport._http1_messages import get_header
+    from sycamorenotch_transport._http1_messages import strip_hop_by_hop_headers
     from sycamorenotch_transport._http1_pool import Http1Pool
     from sycamorenotch_transport._http1_server import Handler
     from sycamorenotch_transport._http1_server import Http1Server
@@ -27,50 +27,50 @@
     from sycamorenotch_transport._resolver import LiteralResolver
     from sycamorenotch_transport._resolver import install_literal_resolver
 
-# A process loads only the modules it uses: the parser of the operators' and
-# callers' listeners is not loaded by a gateway, nor the other way round.
+# Modules are imported on first use, so that a gateway does not load the Twisted Web
+# listeners of the daemon, nor a daemon the HTTP/1.1 server of the gateway.
 _MODULES = {
-    "Background": "_background",
-    "Turn": "_background",
+    "PeriodicTask": "_background",
+    "PeriodicFunction": "_background",
     "BytesProducer": "_bodies",
     "ExchangeError": "_http1_client",
     "Handler": "_http1_server",
     "HeaderPairs": "_http1_messages",
     "Http1Pool": "_http1_pool",
     "Http1Server": "_http1_server",
-    "HttpBounds": "_http1_messages",
+    "HttpLimits": "_http1_messages",
     "HttpListener": "_listeners",
     "HttpRequest": "_http1_messages",
     "HttpResponse": "_http1_messages",
     "LiteralResolver": "_resolver",
-    "RequestBounds": "_bounded_http",
-    "WireAnswer": "_bounded_http",
-    "WireProblem": "_bounded_http",
-    "header": "_http1_messages",
+    "RequestLimits": "_bounded_http",
+    "RejectionResponse": "_bounded_http",
+    "RejectionReason": "_bounded_http",
+    "get_header": "_http1_messages",
     "install_literal_resolver": "_resolver",
-    "without_connection_headers": "_http1_messages",
+    "strip_hop_by_hop_headers": "_http1_messages",
 }
 
 __all__ = [
-    "Background",
     "BytesProducer",
     "ExchangeError",
     "Handler",
     "HeaderPairs",
     "Http1Pool",
     "Http1Server",
-    "HttpBounds",
+    "HttpLimits",
     "HttpListener",
     "HttpRequest",
     "HttpResponse",
     "LiteralResolver",
-    "RequestBounds",
-    "Turn",
-    "WireAnswer",
-    "WireProblem",
-    "header",
+    "PeriodicFunction",
+    "PeriodicTask",
+    "RejectionReason",
+    "RejectionResponse",
+    "RequestLimits",
+    "get_header",
     "install_literal_resolver",
-    "without_connection_headers",
+    "strip_hop_by_hop_headers",
 ]
 
 
--- a/testing/platform/test_explain.py
+++ b/testing/platform/test_explain.py
@@ -5,9 +5,9 @@
 import json
 from random import Random
 
-from sycamorenotch_cli._log_causes import cause_of
-from sycamorenotch_cli._log_causes import tell
-from sycamorenotch_cli._log_lines import parse_lines
+from sycamorenotch_cli._log_parser import parse_lines
+from sycamorenotch_cli._request_trace import describe_cause
+from sycamorenotch_cli._request_trace import trace_request
 
 SEED = 20
 REQUESTS = 60
@@ -58,7 +58,10 @@
             await send_one_request(site)
         lines = tuple(parse_lines(_line(n, e) for n, e in enumerate(site.sink.events)))
         sampled = random.sample(failed, SAMPLED)
-        causes = [(cause_of(tell(lines, name)), fault) for name, fault in sampled]
+        causes = [
+            (describe_cause(trace_request(lines, name)), fault)
+            for name, fault in sampled
+        ]
         explained = [
             any(words in cause for words in (*CAUSES[fault], *LATER_EFFECTS))
             for cause, fault in causes
