--- a/packages/gateway/src/sycamorenotch_gateway/_events.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_events.py
@@ -179,7 +179,8 @@
     """A worker reset a request on a connection that had been idle.
 
     :param idle_s: time for which it had been idle, in seconds.
-    :param trusted_s: maximum idle time of reused connections to the service.
+    :param trusted_s: maximum idle time, in seconds, up to which connections to the
+        service are reused.
     """
 
     worker: str
@@ -284,7 +285,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class RequestAnswered(Event):
-    """A worker's answer to a request was forwarded."""
+    """A worker's answer to a request was forwarded to the caller."""
 
     request: str
     route: str
--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -43,7 +43,8 @@
 
 # Applies if neither the caller nor the route sets a timeout.
 DEFAULT_TIMEOUT_S = 30.0
-# Sent to the caller if the instance is not ready or every worker shed the request.
+# Retry-After of a refusal: by then an instance may be ready, or a worker may have
+# capacity.
 RETRY_AFTER_S = 0.5
 # An instance that has just started reads its topics within a few round trips.
 # Requests of callers that already know its address wait for that.
@@ -51,7 +52,7 @@
 STARTUP_POLL_INTERVAL_S = 0.02
 # The final answer is sent this long before the caller's own timeout.
 CALLER_DEADLINE_MARGIN_S = 0.15
-# No attempt starts with less time than this left.
+# No attempt starts with less time left, as a worker can do nothing useful in it.
 MIN_REMAINING_S = 0.02
 
 ForwardResult = Result[WorkerReply, Refusal]
@@ -126,7 +127,7 @@
         await self._wait_until_ready(progress.started_at + STARTUP_WAIT_S)
         table = self._routes.table
         if table is None or not self._workers.complete:
-            detail = "no configuration is in force"
+            detail = "the configuration or the workers have not been read yet"
             return Error(Refusal(ErrorKind.NOT_READY, Ran.NO, detail, RETRY_AFTER_S))
         route = table.match(call.host, call.path)
         if route is None:
@@ -175,7 +176,7 @@
                 timed_out = Refusal(
                     ErrorKind.DEADLINE_PASSED,
                     Ran.NO,
-                    "the deadline passed before an attempt",
+                    "the deadline passed before the first attempt",
                 )
                 return Error(timed_out) if result is None else result
             wanted = WorkerRequest(
--- a/packages/gateway/src/sycamorenotch_gateway/_front_end.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_front_end.py
@@ -28,7 +28,7 @@
 from sycamorenotch_transport import HttpRequest
 from sycamorenotch_transport import HttpResponse
 
-# Bursts of new connections must not be refused while the loop is busy.
+# Connections that may wait to be accepted while the event loop is busy.
 ACCEPT_BACKLOG = 512
 # Bounds the size of a look-up answer.
 MAX_LOOKUP_INSTANCES = 64
@@ -42,7 +42,7 @@
 ACCEPT_FRACTION = 0.5
 FINISH_FRACTION = 0.86
 
-ERROR_KINDS = {
+ERROR_KINDS_BY_STATUS = {
     400: ErrorKind.BAD_REQUEST,
     408: ErrorKind.SLOW_SENDER,
     413: ErrorKind.BODY_TOO_LARGE,
@@ -119,7 +119,7 @@
         )
 
     def _encode_error(self, status: int, detail: str) -> HttpResponse:
-        kind = ERROR_KINDS.get(status, ErrorKind.BAD_REQUEST)
+        kind = ERROR_KINDS_BY_STATUS.get(status, ErrorKind.BAD_REQUEST)
         if status == 500:
             refusal = Refusal(ErrorKind.INTERNAL, Ran.UNKNOWN, detail)
         else:
--- a/packages/gateway/src/sycamorenotch_gateway/_heartbeats.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_heartbeats.py
@@ -96,8 +96,8 @@
     """Encodes this instance's heartbeats and decodes those of its peers."""
 
     def __init__(self) -> None:
-        # By identifier and start time. Start times do not order restarts, as the
-        # wall clock may step back.
+        # By identifier and start time. The newest start time alone would not do, as
+        # a later start may have an earlier one after a step of the wall clock.
         self._known: OrderedDict[tuple[str, int], Heartbeat] = OrderedDict()
 
     def encode(
--- a/packages/gateway/src/sycamorenotch_gateway/_peers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_peers.py
@@ -115,13 +115,13 @@
 
     @property
     def used_resources(self) -> Resources:
-        """Processors and bandwidth in use, over the window of the usage meter."""
+        """Moving averages of the processors and the bandwidth in use."""
         return self.usage.read(self._node.clock(), self._node.processor_clock())
 
     def _own_heartbeat(self) -> Heartbeat:
-        has = self._node.settings.resources
+        capacity = self._node.settings.resources
         return Heartbeat(
-            self.entry, self._sequence, self.ready, has, self.used_resources
+            self.entry, self._sequence, self.ready, capacity, self.used_resources
         )
 
     def broadcast_heartbeat(self) -> None:
--- a/packages/gateway/src/sycamorenotch_gateway/_relay.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_relay.py
@@ -1,4 +1,4 @@
-"""Serves topics to instances that the store refuses."""
+"""Lets instances that the store refuses read its topics from their peers."""
 
 from __future__ import annotations
 
@@ -145,7 +145,7 @@
         try:
             return Ok(_decode(topic, response.body))
         except ValidationError as exc:
-            return Error(f"the peer's answer cannot be read: {exc.error_count()}")
+            return Error(f"the peer's answer is invalid: {exc.error_count()} errors")
 
     async def _serve(self, request: HttpRequest) -> HttpResponse:
         name = request.target.removeprefix(TOPICS_PATH)
--- a/packages/gateway/src/sycamorenotch_gateway/_settings.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_settings.py
@@ -87,7 +87,8 @@
     :param grace: maximum time from the start of a shutdown to its end.
     :param answer_lifetime: maximum time to live of a look-up answer.
     :param retry_ratio: retries allowed per request, over ``retry_window``.
-    :param extra_retries: retries in ``retry_window`` that all instances may add.
+    :param extra_retries: further retries in each ``retry_window``, for all instances
+        together.
     """
 
     grace: Duration = timedelta(seconds=6)
--- a/packages/gateway/src/sycamorenotch_gateway/_suspicion.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_suspicion.py
@@ -23,7 +23,7 @@
 CRASH_CONFIRMATION_S = 5.0
 # Bound on lost requests that wait for a crash to show; the oldest are discarded.
 MAX_PENDING_LOSSES = 256
-# Each strike is sent in several heartbeats, so a lost datagram costs none.
+# Each strike is sent in several heartbeats, so one lost datagram loses no strike.
 MAX_STRIKES_PER_HEARTBEAT = 12
 
 
@@ -80,7 +80,7 @@
         return Refusal(ErrorKind.QUARANTINED, Ran.NO, detail, retry_after_s)
 
     def record_answered(self, signature: Signature) -> None:
-        """Record that a worker has answered the request."""
+        """Clear the strikes of a request that a worker has answered."""
         self._quarantine.record_answer(signature)
 
     def record_lost_request(
--- a/packages/kernel/src/sycamorenotch_kernel/_environment.py
+++ b/packages/kernel/src/sycamorenotch_kernel/_environment.py
@@ -37,8 +37,8 @@
 
     :param worth: value of one answer within its deadline, relative to the
         other ranks.
-    :param floor: share of every capacity, from 0 to 1, that is reserved for the
-        rank under overload.
+    :param floor: share of every capacity, from 0 to 1, that a flood of requests of
+        other ranks cannot take.
     :param deadline: time limit of requests that state none.
     """
 
@@ -109,7 +109,7 @@
     :param source: region that sends.
     :param target: region that receives.
     :param latency: one-way latency.
-    :param budget: largest bandwidth in this direction, in bits per second.
+    :param budget: bandwidth for all traffic in this direction, in bits per second.
     """
 
     source: str
--- a/packages/kernel/src/sycamorenotch_kernel/_feeds.py
+++ b/packages/kernel/src/sycamorenotch_kernel/_feeds.py
@@ -31,8 +31,8 @@
 class FeedFault(Enum):
     """Why a call to the store failed.
 
-    ``HISTORY_GONE`` means that the store has compacted the requested revision,
-    so that the watch must restart from a full read.
+    ``HISTORY_GONE`` means that the store has discarded changes since the requested
+    revision, so that the topic must be read again.
     """
 
     UNAVAILABLE = "unavailable"
--- a/packages/kernel/src/sycamorenotch_kernel/_forwarding.py
+++ b/packages/kernel/src/sycamorenotch_kernel/_forwarding.py
@@ -142,7 +142,7 @@
     :param draining: whether it accepts no new requests.
     :param cold_s: seconds left of its cold start when the entry was written.
     :param incarnation: start time in Unix milliseconds; a changed value means
-        that the worker restarted and lost its caches.
+        that the worker restarted and kept no state from before.
     """
 
     id: str
@@ -274,7 +274,7 @@
     """Why a caller gets an error in place of a worker's answer.
 
     :param ran: what is known about the execution of the request.
-    :param detail: explanation for the caller.
+    :param detail: explanation for operators, which is logged.
     :param retry_after_s: seconds after which a retry may succeed, if known.
     """
 
--- a/packages/kernel/src/sycamorenotch_kernel/_messages.py
+++ b/packages/kernel/src/sycamorenotch_kernel/_messages.py
@@ -78,7 +78,8 @@
     """Reports that the sender is alive and which configuration it serves.
 
     :param answer: whether the receiver should reply with its own heartbeat.
-    :param incarnation: incarnation of the sender, higher after each restart.
+    :param incarnation: incarnation of the sender; a restart raises it, and so does
+        the refutation of a suspicion.
     :param leaving: whether the sender is about to stop.
     :param generation: configuration generation in force at the sender; 0 if it
         has none.
--- a/testing/platform/conftest.py
+++ b/testing/platform/conftest.py
@@ -170,8 +170,8 @@
 def run_on_site(run_in_reactor):
     """Return a function that runs a scenario on a new site.
 
-    Its ``count`` is the number of workers; other arguments are those of
-    :class:`StandInWorker`.
+    The function's ``count`` is the number of workers; further keyword arguments are
+    passed to each :class:`StandInWorker`.
     """
 
     def run(scenario, count: int = 2, **changes: Any) -> None:
--- a/testing/platform/proxies.py
+++ b/testing/platform/proxies.py
@@ -9,8 +9,9 @@
 from twisted.internet.protocol import Factory
 from twisted.internet.protocol import Protocol
 
-# ``silence`` drops data both ways, ``deaf`` only the server's, ``mute`` only the
-# client's. ``reset`` resets the open connections once.
+# ``delay`` delays all data by ``DELAY_S``. ``silence`` drops data both ways, ``deaf``
+# only the server's, ``mute`` only the client's. ``reset`` resets the open connections
+# once.
 MODES = ("delay", "reset", "silence", "deaf", "mute")
 DELAY_S = 0.2
 
--- a/testing/platform/standins.py
+++ b/testing/platform/standins.py
@@ -38,7 +38,8 @@
 class StandInStore:
     """A store of objects by kind and name, with revisions, pages and watches.
 
-    ``drops_watch_events`` makes it answer no watch, whatever has changed.
+    While ``drops_watch_events`` is set, a new watch waits even if the store has
+    changes to return or has discarded its history.
     """
 
     def __init__(self) -> None:
@@ -137,7 +138,10 @@
 class StandInWorker:
     """A worker that runs, sheds or fails requests, or does not answer them.
 
-    :param mode: ``run``, ``shed``, ``fail``, ``cut``, ``silent`` or ``stranger``.
+    :param mode: ``run``; ``shed``: answer 503 without running the request; ``fail``:
+        run it and answer 500; ``cut``: run it and abort the connections;
+        ``silent``: run it and never answer; ``stranger``: answer 421, as another
+        worker at this address does.
     """
 
     name: str
--- a/testing/platform/test_gateway.py
+++ b/testing/platform/test_gateway.py
@@ -144,8 +144,8 @@
     run_on_site, monkeypatch
 ) -> None:
     # On a slow machine the reset must not be classified as a crash.
-    monkeypatch.setattr(_idle_timeout, "FORGOTTEN_S", 60.0)
-    monkeypatch.setattr(_idle_timeout, "RELAX_S", 600.0)
+    monkeypatch.setattr(_idle_timeout, "MAX_RESET_DELAY_S", 60.0)
+    monkeypatch.setattr(_idle_timeout, "DOUBLING_INTERVAL_S", 600.0)
 
     async def scenario(site) -> None:
         (worker,) = site.workers
@@ -241,6 +241,7 @@
             worker.mode = "cut"
         for _ in range(6):
             await site.call("/once/1")
+            # A new start time in the worker's entry shows that it crashed.
             for worker in site.workers:
                 if worker.ran:
                     worker.ran.clear()
@@ -259,6 +260,7 @@
 def test_request_with_lost_answers_is_not_quarantined_without_a_crash(
     run_on_site,
 ) -> None:
+    # The connections are cut, but no worker is down or has a new start time.
     async def scenario(site) -> None:
         for worker in site.workers:
             worker.mode = "cut"
--- a/testing/platform/test_models.py
+++ b/testing/platform/test_models.py
@@ -88,14 +88,14 @@
 
 
 @given(JSON)
-def test_any_object_is_an_item(raw) -> None:
+def test_any_json_object_gives_a_value_or_a_problem_without_an_error(raw) -> None:
     for topic in Topic:
         item = _item(topic, raw, removed=False)
         assert item.value is None or item.problem == ""
 
 
 @given(JSON)
-def test_any_specification_is_an_item(specification) -> None:
+def test_any_json_specification_is_decoded_without_an_error(specification) -> None:
     for topic in Topic:
         _item(topic, stored(specification), removed=False)
 
--- a/testing/platform/test_topics.py
+++ b/testing/platform/test_topics.py
@@ -118,11 +118,11 @@
         workers._follower.regained_at = (
             site.gateway.node.clock() - ENTRY_RETURN_GRACE_S + 0.3
         )
-        wait_until = workers._follower.regained_at + ENTRY_RETURN_GRACE_S
+        grace_ends_at = workers._follower.regained_at + ENTRY_RETURN_GRACE_S
         view = workers.directory.get("i-0")
         site.store.remove("servers", "i-0")
         await site.wait_until(lambda: view.missing_until is not None)
-        assert view.missing_until == wait_until
+        assert view.missing_until == grace_ends_at
         await site.wait_until(lambda: site.events("worker.removed"))
         (event,) = site.events("worker.removed")
         assert "did not come back" in event.reason
