--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -32,7 +32,7 @@
 # Minimum delay between two checks for a silent worker.
 MIN_SILENCE_CHECK_S = 0.05
 # Added to the worker's deadline, so that an answer sent at the deadline arrives.
-ANSWER_TRANSIT_S = 0.1
+DEADLINE_GRACE_S = 0.1
 
 
 @final
@@ -40,8 +40,9 @@
 class AttemptOutcome:
     """Result of one attempt.
 
+    :param ran: what is known about the execution of the request.
+    :param detail: description of the result, for the log.
     :param reply: the worker's answer, if a complete one arrived.
-    :param ran: whether the worker ran the request.
     :param timed_out: whether no answer arrived before the deadline.
     """
 
@@ -135,7 +136,7 @@
                 self._workers.idle_timeout(view.entry.service).max_idle_s(now),
             )
         )
-        return exchange.addTimeout(remaining_s + ANSWER_TRANSIT_S, self._node.reactor)
+        return exchange.addTimeout(remaining_s + DEADLINE_GRACE_S, self._node.reactor)
 
     def _record_idle_reset(
         self, view: WorkerView, error: ExchangeError, started_at: float
--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -152,12 +152,12 @@
         window_s = bounds.retry_window.total_seconds()
         return RetryLimits(bounds.retry_ratio, window_s, bounds.extra_retries)
 
-    async def _wait_until_ready(self, limit: float) -> None:
+    async def _wait_until_ready(self, give_up_at: float) -> None:
         """Wait until the first configuration and workers have been read.
 
-        :param limit: latest time to wait for, on the monotonic clock.
+        :param give_up_at: end of the wait on the monotonic clock, in seconds.
         """
-        while self._node.clock() < limit and not (
+        while self._node.clock() < give_up_at and not (
             self._routes.table is not None and self._workers.complete
         ):
             await deferLater(self._node.reactor, STARTUP_POLL_INTERVAL_S, lambda: None)
--- a/testing/platform/conftest.py
+++ b/testing/platform/conftest.py
@@ -100,7 +100,7 @@
             await deferLater(reactor, POLL_INTERVAL_S, lambda: None)
         raise AssertionError("timed out before the condition became true")
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         async def answered() -> bool:
             return (await self.fetch("readiness", "/api/readiness")).status == 200
 
@@ -179,7 +179,7 @@
             workers = [StandInWorker(f"i-{n}", **changes) for n in range(count)]
             site = await build_site(workers)
             try:
-                await site.ready()
+                await site.wait_until_ready()
                 await scenario(site)
             finally:
                 await site.gateway.stop()
--- a/testing/platform/log_cost.py
+++ b/testing/platform/log_cost.py
@@ -45,7 +45,7 @@
 
 async def _main() -> None:
     site = await build_site([StandInWorker("i-0", slots=1_000)])
-    await site.ready()
+    await site.wait_until_ready()
     log = TimedLog()
     site.gateway.node.sink = log
     pool = Http1Pool(reactor, site.gateway.addresses["callers"], time.monotonic)
--- a/testing/platform/serve.py
+++ b/testing/platform/serve.py
@@ -20,7 +20,7 @@
     """Start all parts, and print their addresses as JSON once the gateway is ready."""
     workers = [StandInWorker(f"i-{number}") for number in range(WORKERS)]
     site = await build_site(workers)
-    await site.ready()
+    await site.wait_until_ready()
     addresses = site.gateway.addresses
     description = {
         "ready": True,
--- a/testing/platform/test_topics.py
+++ b/testing/platform/test_topics.py
@@ -195,7 +195,7 @@
         peer = build_gateway(store)
         peer.start()
         site = Site(store, [worker], refused, refused.node.sink)
-        await site.ready()
+        await site.wait_until_ready()
         assert (await site.call()).status == 200
         store.put("evacuations", "a", {})
         await site.wait_until(lambda: site.events("evacuation.changed"))
