--- a/packages/gateway/src/sycamorenotch_gateway/_attempts.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_attempts.py
@@ -21,7 +21,7 @@
 from sycamorenotch_kernel import Ran
 from sycamorenotch_kernel import Verdict
 from sycamorenotch_kernel import WorkerReply
-from sycamorenotch_policies import Chosen
+from sycamorenotch_policies import ChosenWorker
 from sycamorenotch_policies import WorkerView
 from sycamorenotch_transport import ExchangeError
 from sycamorenotch_transport import HttpResponse
@@ -64,7 +64,7 @@
         self,
         call: ForwardCall,
         route: ForwardingRoute,
-        chosen: Chosen,
+        chosen: ChosenWorker,
         deadline: float,
     ) -> Outcome:
         """Send a request and wait for the answer or the deadline.
@@ -73,20 +73,20 @@
         """
         view = chosen.view
         begun = self._node.clock()
-        view.started(begun)
+        view.record_start(begun)
         try:
             outcome = await self._exchange(call, route, view, deadline)
         finally:
-            view.ended(begun)
+            view.record_end(begun)
         now = self._node.clock()
         reply = outcome.reply
         if reply is not None and reply.load is not None:
             view.observe_load(reply.load, now)
         if reply is not None:
-            view.heard_at = now
+            view.last_answer_at = now
             self._suspicion.alive(view.entry.id)
         if reply is not None and reply.verdict is Verdict.ANSWER:
-            view.succeeded(now - begun)
+            view.record_success(now - begun)
             self._suspicion.answered(self._suspicion.sign(call))
             return outcome
         self._note(call, chosen, outcome, now - begun)
@@ -114,7 +114,7 @@
         except CancelledError:
             if watch is None or not watch.fired:
                 raise
-            detail = f"the worker is silent for {view.silence_s():.1f} s"
+            detail = f"the worker is silent for {view.silence_timeout_s():.1f} s"
             return Outcome(Ran.UNKNOWN, detail)
         finally:
             if watch is not None:
@@ -130,7 +130,7 @@
                 dialect.encode_attempt(call, view.entry.id, remaining_s),
                 min(CONNECT_S, remaining_s),
                 lambda response: dialect.belongs(call, response),
-                self._workers.trust(view.entry.service).bound_s(now),
+                self._workers.trust(view.entry.service).max_idle_s(now),
             )
         )
         return exchange.addTimeout(remaining_s + ANSWER_TRAVEL_S, self._node.reactor)
@@ -140,9 +140,12 @@
         now = self._node.clock()
         service = view.entry.service
         trust = self._workers.trust(service)
-        if error.began or not trust.broke_off(error.idle_s, now - begun, now):
+        if error.began or not trust.record_close(error.idle_s, now - begun, now):
             return
-        idle_s, trusted_s = round(error.idle_s or 0.0, 3), round(trust.bound_s(now), 3)
+        idle_s, trusted_s = (
+            round(error.idle_s or 0.0, 3),
+            round(trust.max_idle_s(now), 3),
+        )
         self._node.sink.emit(
             IdleConnectionForgotten(view.entry.id, service, idle_s, trusted_s)
         )
@@ -160,7 +163,7 @@
         if unreachable or error.began or error.idle_s is None:
             service = view.entry.service
             now = self._node.clock()
-            view.failed(
+            view.record_failure(
                 now, self._workers.book.cold_s(service), unreachable=unreachable
             )
             self._node.sink.emit(
@@ -169,14 +172,14 @@
                     service,
                     str(error),
                     view.failures,
-                    round(view.paused_until - now, 3),
+                    round(view.backoff_until - now, 3),
                     unreachable,
                 )
             )
         return Outcome(Ran.UNKNOWN if error.sent else Ran.NO, str(error))
 
     def _note(
-        self, call: ForwardCall, chosen: Chosen, outcome: Outcome, seconds: float
+        self, call: ForwardCall, chosen: ChosenWorker, outcome: Outcome, seconds: float
     ) -> None:
         view = chosen.view
         reply = outcome.reply
@@ -217,7 +220,7 @@
             self._timer.cancel()
 
     def _look(self) -> None:
-        left = self._view.silent_at() - self._node.clock()
+        left = self._view.unresponsive_from() - self._node.clock()
         if left <= 0:
             self.fired = True
             self._exchange.cancel()
--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -32,12 +32,12 @@
 from sycamorenotch_kernel import WorkerReply
 from sycamorenotch_kernel import gateway_components
 from sycamorenotch_kernel import worker_choices
-from sycamorenotch_policies import Chosen
-from sycamorenotch_policies import NoRoom
-from sycamorenotch_policies import RetryAllowance
-from sycamorenotch_policies import RetryTerms
-from sycamorenotch_policies import Wanted
+from sycamorenotch_policies import ChosenWorker
+from sycamorenotch_policies import NoCapacity
+from sycamorenotch_policies import RetryBudget
+from sycamorenotch_policies import RetryLimits
 from sycamorenotch_policies import WorkerChoice
+from sycamorenotch_policies import WorkerRequest
 from sycamorenotch_policies import hash_to_unit_interval
 from sycamorenotch_policies import pick_service
 
@@ -85,7 +85,7 @@
         self._peers = node.require(Peers)
         self._attempts = Attempts(node)
         self._suspicion = node.require(Suspicion)
-        self._allowance = RetryAllowance(self._terms)
+        self._allowance = RetryBudget(self._terms)
         book = self._workers.book
         self._choice: WorkerChoice = worker_choices.get("affinity")(
             node.settings.placement.region,
@@ -133,10 +133,10 @@
         bound = patience if route.timeout_s is None else min(patience, route.timeout_s)
         return await self._try_workers(call, route, progress, progress.begun + bound)
 
-    def _terms(self) -> RetryTerms:
+    def _terms(self) -> RetryLimits:
         bounds = self._node.settings.bounds
         window_s = bounds.retry_window.total_seconds()
-        return RetryTerms(bounds.retry_ratio, window_s, bounds.extra_retries)
+        return RetryLimits(bounds.retry_ratio, window_s, bounds.extra_retries)
 
     async def _until_known(self, limit: float) -> None:
         """Wait for the first configuration and workers of a fresh instance."""
@@ -158,12 +158,12 @@
             if deadline - now < LEAST_REMAINING_S:
                 late = Refusal(ErrorKind.DEADLINE_PASSED, Ran.NO, "the time ran out")
                 return Error(late) if result is None else result
-            wanted = Wanted(
+            wanted = WorkerRequest(
                 route, progress.service, call.object_key, frozenset(progress.tried)
             )
             views = self._workers.book.usable(progress.service, now)
             choice = self._choice.choose(wanted, views, now)
-            if isinstance(choice, NoRoom):
+            if isinstance(choice, NoCapacity):
                 if result is not None:
                     return result
                 return Error(self._no_room(choice, now, progress.service))
@@ -178,7 +178,7 @@
         self,
         call: ForwardCall,
         route: ForwardingRoute,
-        chosen: Chosen,
+        chosen: ChosenWorker,
         progress: _Progress,
         deadline: float,
     ) -> Outcome:
@@ -193,12 +193,12 @@
 
     def _may_send(self, progress: _Progress, now: float) -> bool:
         if progress.attempts == 0:
-            self._allowance.requested(progress.service, now)
+            self._allowance.record_first_attempt(progress.service, now)
             return True
-        return self._allowance.take(progress.service, now, self._peers.live_count)
+        return self._allowance.try_acquire(progress.service, now, self._peers.live_count)
 
-    def _no_room(self, choice: NoRoom, now: float, service: str) -> Refusal:
-        detail = f"{choice.reason} ({self._workers.book.census(service, now)})"
+    def _no_room(self, choice: NoCapacity, now: float, service: str) -> Refusal:
+        detail = f"{choice.reason} ({self._workers.book.describe(service, now)})"
         return Refusal(ErrorKind.OVERLOADED, Ran.NO, detail, choice.retry_after_s)
 
     def _record(
--- a/packages/gateway/src/sycamorenotch_gateway/_workers.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_workers.py
@@ -22,8 +22,8 @@
 from sycamorenotch_kernel import Topic
 from sycamorenotch_kernel import WorkerEntry
 from sycamorenotch_kernel import gateway_components
-from sycamorenotch_policies import IdleTrust
-from sycamorenotch_policies import WorkerBook
+from sycamorenotch_policies import AdaptiveIdleTimeout
+from sycamorenotch_policies import WorkerDirectory
 from sycamorenotch_policies import WorkerView
 from sycamorenotch_transport import Http1Pool
 
@@ -46,9 +46,11 @@
 
     def __init__(self, node: GatewayNode) -> None:
         self._node = node
-        self.book = WorkerBook(lambda place: node.settings.placement.region_of(place))
+        self.book = WorkerDirectory(
+            lambda place: node.settings.placement.region_of(place)
+        )
         self._pools: dict[str, Http1Pool] = {}
-        self._trust: dict[str, IdleTrust] = {}
+        self._trust: dict[str, AdaptiveIdleTimeout] = {}
         self._follower = Follower(node, Topic.WORKERS, self._receive)
         self._evacuations = Follower(node, Topic.EVACUATIONS, self._evacuate)
         self._empty: set[str] = set()
@@ -86,9 +88,9 @@
             )
         return self._pools[name]
 
-    def trust(self, service: str) -> IdleTrust:
+    def trust(self, service: str) -> AdaptiveIdleTimeout:
         """Return what is known of idle connections to the workers of a service."""
-        return self._trust.setdefault(service, IdleTrust())
+        return self._trust.setdefault(service, AdaptiveIdleTimeout())
 
     def moved(self, view: WorkerView) -> None:
         """Drop a worker whose address belongs to another one."""
@@ -145,7 +147,7 @@
         regained = self._follower.regained_at
         until = -inf if regained is None else regained + RETURN_S
         if now < until and not view.entry.draining and not view.unreachable:
-            self.book.miss(name, until)
+            self.book.mark_missing(name, until)
             return
         self._remove(name, "its entry was removed", revision)
 
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -42,7 +42,7 @@
 from sycamorenotch_policies._claims import Claim
 from sycamorenotch_policies._claims import ClaimRequest
 from sycamorenotch_policies._claims import ClaimState
-from sycamorenotch_policies._claims import Moment
+from sycamorenotch_policies._claims import ClockReading
 from sycamorenotch_policies._claims import RecordedAnswer
 from sycamorenotch_policies._claims import fingerprint
 from sycamorenotch_policies._concurrency import ConcurrencyLimit
@@ -58,7 +58,7 @@
 from sycamorenotch_policies._grants import GrantDecision
 from sycamorenotch_policies._grants import apportion
 from sycamorenotch_policies._grants import reallocate_grants
-from sycamorenotch_policies._idle_trust import IdleTrust
+from sycamorenotch_policies._idle_timeout import AdaptiveIdleTimeout
 from sycamorenotch_policies._lease import Lease
 from sycamorenotch_policies._lease import LeaseCommand
 from sycamorenotch_policies._lease import LeaseFailed
@@ -102,8 +102,8 @@
 from sycamorenotch_policies._retry import Retry
 from sycamorenotch_policies._retry import RetryDecision
 from sycamorenotch_policies._retry import RetryRule
-from sycamorenotch_policies._retry_allowance import RetryAllowance
-from sycamorenotch_policies._retry_allowance import RetryTerms
+from sycamorenotch_policies._retry_budget import RetryBudget
+from sycamorenotch_policies._retry_budget import RetryLimits
 from sycamorenotch_policies._route_table import RouteTable
 from sycamorenotch_policies._route_table import hash_to_unit_interval
 from sycamorenotch_policies._route_table import pick_service
@@ -115,12 +115,12 @@
 from sycamorenotch_policies._steering_view import SteeringView
 from sycamorenotch_policies._steering_view import WorkerReport
 from sycamorenotch_policies._usage_meter import UsageMeter
-from sycamorenotch_policies._worker_book import WorkerBook
-from sycamorenotch_policies._worker_book import WorkerView
-from sycamorenotch_policies._worker_choice import Chosen
-from sycamorenotch_policies._worker_choice import NoRoom
-from sycamorenotch_policies._worker_choice import Wanted
+from sycamorenotch_policies._worker_choice import ChosenWorker
+from sycamorenotch_policies._worker_choice import NoCapacity
 from sycamorenotch_policies._worker_choice import WorkerChoice
+from sycamorenotch_policies._worker_choice import WorkerRequest
+from sycamorenotch_policies._worker_directory import WorkerDirectory
+from sycamorenotch_policies._worker_directory import WorkerView
 from sycamorenotch_policies._worker_state import LoadReport
 from sycamorenotch_policies._worker_state import WorkerState
 from sycamorenotch_policies._worker_table import ChoiceSetup
@@ -131,6 +131,7 @@
     "GONE_GRACE_PERIOD",
     "LAPSE_MARGIN",
     "LOAN_LIFETIME",
+    "AdaptiveIdleTimeout",
     "AdmissionDecision",
     "AdmissionDecisions",
     "AdmissionDiscipline",
@@ -141,7 +142,7 @@
     "BudgetedRetry",
     "Choice",
     "ChoiceSetup",
-    "Chosen",
+    "ChosenWorker",
     "Claim",
     "ClaimCommand",
     "ClaimConflict",
@@ -157,6 +158,7 @@
     "ClaimWaited",
     "ClaimWriteLost",
     "ClaimWritten",
+    "ClockReading",
     "ConcurrencyLimit",
     "ConfigurationHistory",
     "ConfigurationText",
@@ -173,7 +175,6 @@
     "GrantDecision",
     "Heartbeat",
     "HeldGrants",
-    "IdleTrust",
     "InstanceContact",
     "Lease",
     "LeaseCommand",
@@ -189,10 +190,9 @@
     "LookupTable",
     "MakePlan",
     "Membership",
-    "Moment",
     "NearestRegion",
     "NeverRetry",
-    "NoRoom",
+    "NoCapacity",
     "Outcome",
     "PeerState",
     "PlainRetry",
@@ -205,10 +205,10 @@
     "RecordedAnswer",
     "Refused",
     "Retry",
-    "RetryAllowance",
+    "RetryBudget",
     "RetryDecision",
+    "RetryLimits",
     "RetryRule",
-    "RetryTerms",
     "RoundRobin",
     "RouteTable",
     "ShiftLedger",
@@ -222,11 +222,11 @@
     "UpstreamChoice",
     "UsageMeter",
     "WaitForClaim",
-    "Wanted",
     "WindowedCounts",
-    "WorkerBook",
     "WorkerChoice",
+    "WorkerDirectory",
     "WorkerReport",
+    "WorkerRequest",
     "WorkerState",
     "WorkerTable",
     "WorkerView",
