--- a/packages/daemon/src/sycamorenotch_daemon/_configuration.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_configuration.py
@@ -1,4 +1,4 @@
-"""Keeps the newest configuration of the environment in force."""
+"""Watches the environment's document and puts newer generations in force."""
 
 from __future__ import annotations
 
@@ -42,22 +42,27 @@
 READ_TIMEOUT = timedelta(seconds=2)
 WATCH_TIMEOUT = timedelta(seconds=30)
 RETRY_DELAY = timedelta(seconds=1)
-ROLE_CHECK = timedelta(milliseconds=500)
+ROLE_CHECK_INTERVAL = timedelta(milliseconds=500)
 REQUEST_INTERVAL = timedelta(milliseconds=300)
 
 
 class Readiness(Protocol):
-    """Whether the daemon may tell callers that it is ready."""
+    """Readiness check that the callers' front end answers from."""
 
     def is_ready(self) -> bool:
-        """Return whether a configuration is in force that no peer contradicts."""
+        """Return whether the configuration in force may be served to callers."""
         ...
 
 
 @components.register("configuration")
 @final
 class ConfigurationWatch:
-    """Takes newer documents from the store or from peers and passes them on."""
+    """Accepts newer documents from the store or from peers and forwards them.
+
+    Only the watchers of a data centre watch the store. They push each change to
+    the other instances of the data centre. An instance that missed a push sees
+    the newer generation in a heartbeat and requests it.
+    """
 
     after: ClassVar[tuple[str, ...]] = ("membership",)
 
@@ -67,72 +72,78 @@
         self._fleet = node.require(FleetMembership)
         self._history = ConfigurationHistory()
         self._confirmation = Confirmation()
-        self._pushed: dict[InstanceId, int] = {}
-        self._requested_at = -REQUEST_INTERVAL
+        self._pushed_generations: dict[InstanceId, int] = {}
+        self._last_request_at = -REQUEST_INTERVAL
         self._stopped = False
-        self._loop: Deferred[None] | None = None
+        self._watching: Deferred[None] | None = None
         self._mesh.handle(Heartbeat, self._on_heartbeat)
         self._mesh.handle(ConfigurationRequest, self._on_request)
         self._mesh.handle(ConfigurationPush, self._on_push)
-        self._mesh.observe(lambda peer: self._pushed.pop(peer.instance, None))
+        self._mesh.observe(
+            lambda peer: self._pushed_generations.pop(peer.instance, None)
+        )
         node.provide(Readiness, self)  # type: ignore[type-abstract]
 
     async def start(self) -> None:
-        """Read the document once and start to watch."""
+        """Read the document once and start the watch loop."""
         await self._read()
-        self._loop = Deferred.fromCoroutine(self._watch())
-        self._loop.addErrback(lambda failure: failure.trap(CancelledError) and None)
+        self._watching = Deferred.fromCoroutine(self._watch())
+        self._watching.addErrback(lambda failure: failure.trap(CancelledError) and None)
 
     async def stop(self) -> None:
-        """Stop watching."""
+        """Cancel the watch loop."""
         self._stopped = True
-        if self._loop is not None:
-            self._loop.cancel()
+        if self._watching is not None:
+            self._watching.cancel()
 
     def is_ready(self) -> bool:
-        """Return whether a configuration is in force that no peer contradicts."""
+        """Return whether the configuration in force may be served to callers.
+
+        It may once it was read from the store, or once the reachable peers have
+        reported no newer generation.
+        """
         generation = self._node.configuration.generation
         return self._confirmation.try_confirm(generation, len(self._mesh.connected()))
 
     async def _read(self) -> None:
         name = self._node.settings.environment
-        found = await self._node.store.get(ENVIRONMENT_KIND, name, READ_TIMEOUT)
-        if found.is_ok():
-            self._take_stored(found.ok)
-        elif found.error.fault is not StoreFault.NOT_FOUND:
-            self._report(found.error)
+        result = await self._node.store.get(ENVIRONMENT_KIND, name, READ_TIMEOUT)
+        if result.is_ok():
+            self._accept_stored(result.ok)
+        elif result.error.fault is not StoreFault.NOT_FOUND:
+            self._report(result.error)
 
     async def _watch(self) -> None:
         after = Version(self._node.configuration.generation)
         while not self._stopped:
             if not self._fleet.is_watcher():
-                await self._pause(ROLE_CHECK)
+                await self._sleep(ROLE_CHECK_INTERVAL)
                 continue
             changes = await self._node.store.watch(
                 ENVIRONMENT_KIND, after, WATCH_TIMEOUT
             )
             if changes.is_error():
                 self._report(changes.error)
-                await self._pause(RETRY_DELAY)
+                await self._sleep(RETRY_DELAY)
                 continue
             after = changes.ok.version
             for stored in changes.ok.objects:
                 if stored.name == self._node.settings.environment:
-                    self._take_stored(stored)
+                    self._accept_stored(stored)
 
-    async def _pause(self, delay: timedelta) -> None:
+    async def _sleep(self, delay: timedelta) -> None:
         jitter = 0.5 + self._node.random.random()
         await deferLater(self._node.reactor, delay.total_seconds() * jitter)
 
-    def _take_stored(self, stored: StoredObject) -> None:
+    def _accept_stored(self, stored: StoredObject) -> None:
         in_force = self._node.configuration.generation
         if stored.version < in_force:
             self._node.sink.emit(StoreBehind(stored.version, in_force))
             return
         self._confirmation.record_store_read()
-        self._put(ConfigurationText.of(stored.version, stored.value))
+        self._accept(ConfigurationText.of(stored.version, stored.value))
 
-    def _put(self, candidate: ConfigurationText) -> None:
+    def _accept(self, candidate: ConfigurationText) -> None:
         if not accept_document(self._node, candidate):
             return
         self._history.add(candidate)
@@ -140,15 +151,15 @@
             self._push_to_members(candidate.generation)
 
     def _push_to_members(self, generation: int) -> None:
-        known = {m.instance: m.generation for m in self._fleet.members()}
+        known_generations = {m.instance: m.generation for m in self._fleet.members()}
         centre = self._node.settings.data_centre
         for peer in self._mesh.connected():
-            sent = self._pushed.get(peer.instance, 0)
-            base = max(sent, known.get(peer.instance, 0))
+            sent = self._pushed_generations.get(peer.instance, 0)
+            base = max(sent, known_generations.get(peer.instance, 0))
             if peer.data_centre == centre and base < generation:
                 push = self._history.make_push(base)
                 if push is not None and self._mesh.send(peer.instance, push):
-                    self._pushed[peer.instance] = generation
+                    self._pushed_generations[peer.instance] = generation
 
     def _on_heartbeat(self, peer: PeerIdentity, message: Heartbeat) -> None:
         self._confirmation.record_peer_generation(peer.instance, message.generation)
@@ -161,13 +172,13 @@
                 event = ConfigurationContradicted(peer.instance, generation)
                 self._node.sink.emit(event)
 
-    def _request(self, peer: PeerIdentity, *, whole: bool = False) -> None:
+    def _request(self, peer: PeerIdentity, *, full: bool = False) -> None:
         now = self._node.clock.monotonic()
-        if now - self._requested_at < REQUEST_INTERVAL and not whole:
+        if now - self._last_request_at < REQUEST_INTERVAL and not full:
             return
-        generation = 0 if whole else self._node.configuration.generation
+        generation = 0 if full else self._node.configuration.generation
         if self._mesh.send(peer.instance, ConfigurationRequest(generation)):
-            self._requested_at = now
+            self._last_request_at = now
 
     def _on_request(self, peer: PeerIdentity, message: ConfigurationRequest) -> None:
         push = self._history.make_push(message.generation)
@@ -179,9 +190,9 @@
             return
         text = self._history.apply_push(message)
         if text is not None:
-            self._put(text)
+            self._accept(text)
         elif message.base:
-            self._request(peer, whole=True)
+            self._request(peer, full=True)
         else:
             event = ConfigurationPushDamaged(peer.instance, message.generation)
             self._node.sink.emit(event)
@@ -191,9 +202,9 @@
 
 
 def accept_document(node: Node, candidate: ConfigurationText) -> bool:
-    """Validate a document and put it in force if it is newer.
+    """Validate a document and put it in force if its generation is newer.
 
-    :return: whether the document is in force now.
+    :return: whether the candidate was put in force.
     """
     if candidate.generation <= node.configuration.generation:
         return False
--- a/packages/daemon/src/sycamorenotch_daemon/_configuration_events.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_configuration_events.py
@@ -1,4 +1,4 @@
-"""Events of the distribution of configurations."""
+"""Events of configuration distribution."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ConfigurationContradicted(Event):
-    """A peer serves another text under the same generation."""
+    """A peer serves a different document under the same generation."""
 
     instance: str
     generation: int
@@ -24,7 +24,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ConfigurationPushDamaged(Event):
-    """A pushed configuration does not have the digest that came with it."""
+    """The digest of a pushed configuration does not match its content."""
 
     instance: str
     generation: int
@@ -34,7 +34,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class StoreBehind(Event):
-    """The store gave an older generation than the one in force, which stays."""
+    """The store returned an older generation than the one in force.
+
+    The generation in force stays.
+    """
 
     stored: int
     in_force: int
--- a/packages/daemon/src/sycamorenotch_daemon/_http_store.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_http_store.py
@@ -1,4 +1,4 @@
-"""The store adapter for the object API over HTTP."""
+"""Store adapter for the object API over HTTP."""
 
 from __future__ import annotations
 
@@ -37,7 +37,8 @@
 
 T = TypeVar("T")
 
-# A watch is answered when its time is over; the answer needs time to travel.
+# Without a change, a watch is answered when its own timeout expires, and the
+# answer takes time to arrive.
 WATCH_MARGIN = timedelta(seconds=5)
 
 FAULTS_BY_STATUS = {404: StoreFault.NOT_FOUND, 412: StoreFault.CONFLICT}
@@ -51,7 +52,7 @@
         bytes, BeforeValidator(lambda text: b64decode(text, validate=True))
     ]
 
-    def stored(self) -> StoredObject:
+    def to_stored_object(self) -> StoredObject:
         return StoredObject(self.kind, self.name, Version(self.version), self.value)
 
 
@@ -74,7 +75,7 @@
     state: InstanceState
     operators: str = ""
 
-    def listed(self) -> ListedInstance:
+    def to_listed_instance(self) -> ListedInstance:
         values = self.model_dump()
         return ListedInstance(**{**values, "id": InstanceId(self.id)})
 
@@ -86,10 +87,10 @@
 @store_adapters.register("http")
 @final
 class HttpStore:
-    """Speaks to the object API; also reads the platform's instance list.
+    """Client of the object API, which also serves the platform's instance list.
 
     :param url: base URL of the object API.
-    :param reactor: the one loop.
+    :param reactor: the reactor of the process.
     """
 
     def __init__(self, url: str, reactor: Any) -> None:
@@ -107,34 +108,34 @@
     ) -> Result[StoredObject, StoreError]:
         """Read one object."""
         path = f"/v1/objects/{kind}/{name}"
-        return await self._call("GET", path, timeout, _object)
+        return await self._call("GET", path, timeout, _decode_object)
 
     async def list(
         self, kind: str, timeout: timedelta
     ) -> Result[tuple[StoredObject, ...], StoreError]:
         """Read every object of a kind."""
-        return await self._call("GET", f"/v1/objects/{kind}", timeout, _objects)
+        return await self._call("GET", f"/v1/objects/{kind}", timeout, _decode_objects)
 
     async def create(
         self, kind: str, name: str, value: bytes, timeout: timedelta
     ) -> Result[StoredObject, StoreError]:
-        """Write an object that must not exist."""
+        """Write an object that must not exist yet."""
         path = f"/v1/objects/{kind}/{name}"
         headers = {"If-None-Match": "*"}
-        return await self._call("PUT", path, timeout, _object, headers, value)
+        return await self._call("PUT", path, timeout, _decode_object, headers, value)
 
     async def update(
         self, kind: str, name: str, value: bytes, expected: Version, timeout: timedelta
     ) -> Result[StoredObject, StoreError]:
-        """Replace an object of the expected version."""
+        """Replace an object if it has the expected version."""
         path = f"/v1/objects/{kind}/{name}"
         headers = {"If-Match": f'"{expected}"'}
-        return await self._call("PUT", path, timeout, _object, headers, value)
+        return await self._call("PUT", path, timeout, _decode_object, headers, value)
 
     async def delete(
         self, kind: str, name: str, expected: Version, timeout: timedelta
     ) -> Result[None, StoreError]:
-        """Remove an object of the expected version."""
+        """Remove an object if it has the expected version."""
         path = f"/v1/objects/{kind}/{name}"
         headers = {"If-Match": f'"{expected}"'}
         return await self._call("DELETE", path, timeout, lambda _: None, headers)
@@ -142,15 +143,15 @@
     async def watch(
         self, kind: str, after: Version, timeout: timedelta
     ) -> Result[Changes, StoreError]:
-        """Wait for changes later than a version, or for the timeout."""
+        """Wait until an object changes after a version, or until the timeout."""
         path = f"/v1/watch/{kind}?after={after}&timeout_s={timeout.total_seconds()}"
-        return await self._call("GET", path, timeout + WATCH_MARGIN, _changes)
+        return await self._call("GET", path, timeout + WATCH_MARGIN, _decode_changes)
 
     async def instances(
         self, timeout: timedelta
     ) -> Result[tuple[ListedInstance, ...], StoreError]:
         """Read the platform's list of instances."""
-        return await self._call("GET", "/v1/instances", timeout, _instances)
+        return await self._call("GET", "/v1/instances", timeout, _decode_instances)
 
     async def _call(
         self,
@@ -161,23 +162,30 @@
         headers: dict[str, str] | None = None,
         body: bytes | None = None,
     ) -> Result[T, StoreError]:
-        lost = StoreFault.UNAVAILABLE if method == "GET" else StoreFault.UNKNOWN
-        sent = Deferred.fromCoroutine(self._send(method, path, headers, body))
-        sent.addTimeout(timeout.total_seconds(), self._reactor)
+        no_answer_fault = (
+            StoreFault.UNAVAILABLE if method == "GET" else StoreFault.UNKNOWN
+        )
+        pending = Deferred.fromCoroutine(self._send(method, path, headers, body))
+        pending.addTimeout(timeout.total_seconds(), self._reactor)
         try:
-            status, content = await sent
+            status, content = await pending
         except CancelledError:
             raise
         except ConnectError as exc:
             return Error(StoreError(StoreFault.UNAVAILABLE, str(exc)))
         except Exception as exc:
-            return Error(StoreError(lost, f"{type(exc).__name__}: {exc}"))
+            return Error(StoreError(no_answer_fault, f"{type(exc).__name__}: {exc}"))
         try:
             if status in (200, 201):
                 return Ok(decode(content))
-            return Error(_error(status, content))
+            return Error(_decode_error(status, content))
         except ValidationError as exc:
-            return Error(StoreError(lost, f"malformed answer: {exc.error_count()}"))
+            return Error(
+                StoreError(
+                    no_answer_fault,
+                    f"malformed answer: {exc.error_count()} validation errors",
+                )
+            )
 
     async def _send(
         self,
@@ -195,28 +203,28 @@
         return response.code, await treq.content(response)
 
 
-def _object(content: bytes) -> StoredObject:
-    return _ObjectModel.model_validate_json(content).stored()
+def _decode_object(content: bytes) -> StoredObject:
+    return _ObjectModel.model_validate_json(content).to_stored_object()
 
 
-def _objects(content: bytes) -> tuple[StoredObject, ...]:
+def _decode_objects(content: bytes) -> tuple[StoredObject, ...]:
     model = _ObjectsModel.model_validate_json(content)
-    return tuple(item.stored() for item in model.objects)
+    return tuple(item.to_stored_object() for item in model.objects)
 
 
-def _changes(content: bytes) -> Changes:
+def _decode_changes(content: bytes) -> Changes:
     model = _ObjectsModel.model_validate_json(content)
-    objects = tuple(item.stored() for item in model.objects)
+    objects = tuple(item.to_stored_object() for item in model.objects)
     return Changes(objects, Version(model.version))
 
 
-def _instances(content: bytes) -> tuple[ListedInstance, ...]:
+def _decode_instances(content: bytes) -> tuple[ListedInstance, ...]:
     model = _InstancesModel.model_validate_json(content)
-    return tuple(item.listed() for item in model.instances)
+    return tuple(item.to_listed_instance() for item in model.instances)
 
 
-def _error(status: int, content: bytes) -> StoreError:
+def _decode_error(status: int, content: bytes) -> StoreError:
     model = _ErrorModel.model_validate_json(content)
     fault = FAULTS_BY_STATUS.get(status, StoreFault.UNAVAILABLE)
-    current = None if model.current is None else model.current.stored()
+    current = None if model.current is None else model.current.to_stored_object()
     return StoreError(fault, model.detail, current)
--- a/packages/daemon/src/sycamorenotch_daemon/_lease.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_lease.py
@@ -1,4 +1,4 @@
-"""Keeps the lease of the instance that makes the plan."""
+"""Acquires and renews the lease of the instance that makes the plan."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 from sycamorenotch_policies import ReadLease
 from sycamorenotch_policies import lease_candidates
 
-DURATION = timedelta(seconds=6)
-STEP_INTERVAL = DURATION / 3
+LEASE_DURATION = timedelta(seconds=6)
+STEP_INTERVAL = LEASE_DURATION / 3
 CALL_TIMEOUT = timedelta(seconds=1)
-MAXIMUM_DELAY = timedelta(seconds=30)
-MAXIMUM_DOUBLINGS = 6
+MAX_BACKOFF = timedelta(seconds=30)
+MAX_BACKOFF_DOUBLINGS = 6
 
 
 @components.register("lease")
 @final
 class PlanLease:
-    """Takes, renews and gives up the lease.
+    """Acquires, renews and releases the lease.
 
-    Only a few instances, chosen by rendezvous hashing, call the store.
+    Only a few candidates, chosen by rendezvous hashing, call the store.
     """
 
     after: ClassVar[tuple[str, ...]] = ("instances",)
@@ -53,7 +53,7 @@
     def __init__(self, node: Node) -> None:
         self._node = node
         self._name = f"plan.{node.settings.environment}"
-        self._lease = Lease(InstanceId(node.settings.instance), DURATION)
+        self._lease = Lease(InstanceId(node.settings.instance), LEASE_DURATION)
         self._loop = background(node.reactor, node.sink, self._turn)
         self._failures = 0
         self._acting_term: int | None = None
@@ -61,12 +61,12 @@
 
     @property
     def term(self) -> int:
-        """The newest term that was seen, or 0."""
+        """The newest observed term, or 0."""
         return self._lease.term
 
     @property
     def holder(self) -> InstanceId | None:
-        """The newest holder that was seen."""
+        """The newest observed holder, if any."""
         return self._lease.holder
 
     def is_held(self) -> bool:
@@ -74,45 +74,45 @@
         return self._lease.is_held(self._node.clock.monotonic())
 
     async def start(self) -> None:
-        """Start to step; the first step comes after a part of the interval."""
+        """Start the loop, with the first step after a random part of the interval."""
         self._loop.start(self._node.random.random() * STEP_INTERVAL)
 
     async def stop(self) -> None:
-        """Stop, and give the lease up if it is held."""
+        """Stop, and release the lease if it is held."""
         self._loop.stop()
         now = self._node.clock.monotonic()
         command = self._lease.release(now, self._node.ids.attempt())
         if command is not None:
-            self._take(await self._perform(command))
+            self._apply(await self._execute(command))
             self._node.sink.emit(LeaseReleased(self._name, self._lease.term))
 
     async def step(self) -> None:
-        """Make one call to the store, if this instance is a candidate."""
+        """Read or write the lease once, if this instance is a candidate or holder."""
         candidate = self._is_candidate()
         if candidate or self._acting_term is not None:
             now = self._node.clock.monotonic()
             attempt = self._node.ids.attempt()
             command = self._lease.step(now, attempt, candidate=candidate)
-            self._take(await self._perform(command))
-        self._report()
+            self._apply(await self._execute(command))
+        self._report_acting_term()
 
     async def _turn(self) -> timedelta:
         await self.step()
-        return self._delay()
+        return self._next_delay()
 
-    def _delay(self) -> timedelta:
+    def _next_delay(self) -> timedelta:
         if not self._failures:
             return STEP_INTERVAL * (0.8 + 0.2 * self._node.random.random())
-        growth: int = 2 ** min(self._failures, MAXIMUM_DOUBLINGS)
-        longest = min(STEP_INTERVAL * growth / 2, MAXIMUM_DELAY)
-        return STEP_INTERVAL / 4 + longest * self._node.random.random()
+        factor: int = 2 ** min(self._failures, MAX_BACKOFF_DOUBLINGS)
+        max_delay = min(STEP_INTERVAL * factor / 2, MAX_BACKOFF)
+        return STEP_INTERVAL / 4 + max_delay * self._node.random.random()
 
     def _is_candidate(self) -> bool:
         instances = self._node.require(InstanceView).instances()  # type: ignore[type-abstract]
         me = InstanceId(self._node.settings.instance)
         return not self._node.stopping and me in lease_candidates(self._name, instances)
 
-    def _take(self, event: LeaseResult) -> None:
+    def _apply(self, event: LeaseResult) -> None:
         self._lease.apply_result(event, self._node.clock.monotonic())
         if not isinstance(event, LeaseFailed):
             self._failures = 0
@@ -121,7 +121,7 @@
             self._node.sink.emit(LeaseStoreFailed(self._name, event.detail))
         self._failures += 1
 
-    def _report(self) -> None:
+    def _report_acting_term(self) -> None:
         term = self._lease.term if self.is_held() else None
         if term == self._acting_term:
             return
@@ -132,40 +132,40 @@
             self._node.sink.emit(LeaseAcquired(self._name, term))
         self._acting_term = term
 
-    async def _perform(self, command: LeaseCommand) -> LeaseResult:
+    async def _execute(self, command: LeaseCommand) -> LeaseResult:
         store = self._node.store
         if isinstance(command, ReadLease):
-            return _read(await store.get(LEASE_KIND, self._name, CALL_TIMEOUT))
+            return _read_result(await store.get(LEASE_KIND, self._name, CALL_TIMEOUT))
         value = encode_lease(command.record)
         if command.expected is None:
-            return _written(
+            return _write_result(
                 await store.create(LEASE_KIND, self._name, value, CALL_TIMEOUT)
             )
-        return _written(
+        return _write_result(
             await store.update(
                 LEASE_KIND, self._name, value, command.expected, CALL_TIMEOUT
             )
         )
 
 
-def _read(result: Result[StoredObject, StoreError]) -> LeaseResult:
+def _read_result(result: Result[StoredObject, StoreError]) -> LeaseResult:
     if result.is_ok():
-        return _found(result.ok)
+        return _decode_found(result.ok)
     if result.error.fault is StoreFault.NOT_FOUND:
         return LeaseMissing()
     return LeaseFailed(f"{result.error.fault.value}: {result.error.detail}")
 
 
-def _written(result: Result[StoredObject, StoreError]) -> LeaseResult:
+def _write_result(result: Result[StoredObject, StoreError]) -> LeaseResult:
     if result.is_ok():
         return LeaseWritten(result.ok.version)
     current = result.error.current
     if result.error.fault is StoreFault.CONFLICT and current is not None:
-        return _found(current)
-    return _read(result)
+        return _decode_found(current)
+    return _read_result(result)
 
 
-def _found(stored: StoredObject) -> LeaseResult:
+def _decode_found(stored: StoredObject) -> LeaseResult:
     decoded = decode_lease(stored.value)
     if decoded.is_error():
         return LeaseFailed(decoded.error)
--- a/packages/daemon/src/sycamorenotch_daemon/_lease_codec.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_lease_codec.py
@@ -1,4 +1,4 @@
-"""Leases as msgpack, validated when they are read."""
+"""Encoding of stored leases in msgpack; validated when decoded."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def encode_lease(record: LeaseRecord) -> bytes:
-    """Return the stored form of a lease."""
+    """Encode a lease for the store."""
     fields = {
         "holder": record.holder,
         "term": record.term,
@@ -44,9 +44,9 @@
 
 
 def decode_lease(value: bytes) -> Result[LeaseRecord, str]:
-    """Validate the stored form of a lease.
+    """Decode and validate a stored lease.
 
-    :return: the lease, or what is wrong with it.
+    :return: the lease, or a description of the error.
     """
     try:
         model = _LeaseModel.model_validate(msgpack.unpackb(value))
--- a/packages/daemon/src/sycamorenotch_daemon/_lease_events.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_lease_events.py
@@ -1,4 +1,4 @@
-"""Events of the plan's lease."""
+"""Events of the lease under which plans are written."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired(Event):
-    """This instance is the holder of the lease and makes the plan."""
+    """This instance acquired the lease and makes the plan."""
 
     lease: str
     term: int
@@ -24,9 +24,9 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LeaseLost(Event):
-    """This instance may no longer act as the holder.
+    """This instance may no longer act as the lease holder.
 
-    Its lease was not renewed in time, or another instance has taken it.
+    Its lease was not renewed in time, or another instance acquired it.
     """
 
     lease: str
@@ -38,7 +38,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LeaseReleased(Event):
-    """This instance stops and has given the lease up."""
+    """This instance released the lease because it stops."""
 
     lease: str
     term: int
@@ -48,9 +48,9 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LeaseStoreFailed(Event):
-    """The lease could not be read or written; it is tried again with back-off.
+    """The lease could not be read or written; retried with backoff.
 
-    Emitted for the first of several failures in a row.
+    Emitted only for the first of consecutive failures.
     """
 
     lease: str
--- a/packages/daemon/src/sycamorenotch_daemon/_membership.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership.py
@@ -1,4 +1,4 @@
-"""Sends heartbeats to a few peers and keeps the view of the fleet."""
+"""Fleet membership: exchanges heartbeats with a few peers."""
 
 from __future__ import annotations
 
@@ -29,35 +29,35 @@
 from sycamorenotch_policies import successor
 from sycamorenotch_policies import watchers
 
-ROUND = timedelta(seconds=1)
-# The successor in the data centre is asked in each round, the contacts in
-# other places in every second one and the watchers in every tenth.
-CONTACT_ROUNDS = 2
-WATCHER_ROUNDS = 10
-CONTACTS = 2
+HEARTBEAT_INTERVAL = timedelta(seconds=1)
+# The successor in the data centre gets a heartbeat in every round, the contacts
+# elsewhere and the watchers less often.
+CONTACT_INTERVAL_ROUNDS = 2
+WATCHER_INTERVAL_ROUNDS = 10
+MAX_CONTACTS = 2
 SHORT_DIGEST_BYTES = 8
 
 
 @components.register("membership")
 @final
 class FleetMembership:
-    """Membership of the fleet as this daemon sees it."""
+    """Membership of the fleet as seen by this daemon."""
 
     after: ClassVar[tuple[str, ...]] = ("peers",)
 
     def __init__(self, node: Node) -> None:
         self._node = node
         self._mesh = node.require(PeerMesh)
-        self._me = InstanceId(node.settings.instance)
-        self._members = Membership(self._me, self._mesh.incarnation)
+        self._own_id = InstanceId(node.settings.instance)
+        self._members = Membership(self._own_id, self._mesh.incarnation)
         self._listed: dict[InstanceId, ListedInstance] = {}
-        self._round = 0
+        self._rounds = 0
         self._successor: InstanceId | None = None
         self._contacts: tuple[InstanceId, ...] = ()
         self._watchers: tuple[InstanceId, ...] = ()
-        self._aims: dict[InstanceId, str] = {}
-        self._changed = False
-        self._kept: dict[str, InstanceId] = {}
+        self._stream_targets: dict[InstanceId, str] = {}
+        self._peers_outdated = False
+        self._kept_streams: dict[str, InstanceId] = {}
         self._loop = LoopingCall(self._on_round)
         self._loop.clock = node.reactor
         self._mesh.handle(Heartbeat, self._on_heartbeat)
@@ -65,60 +65,63 @@
         node.provide(FleetView, self)  # type: ignore[type-abstract]
 
     async def start(self) -> None:
-        """Start the rounds of heartbeats."""
+        """Start to send heartbeats."""
         self._node.configuration.subscribe(self._on_configuration)
-        self._loop.start(ROUND.total_seconds(), now=False)
+        self._loop.start(HEARTBEAT_INTERVAL.total_seconds(), now=False)
 
     async def stop(self) -> None:
-        """Tell the peers that this instance leaves, then stop."""
+        """Announce to the connected peers that this instance leaves, then stop."""
         if self._loop.running:
             self._loop.stop()
         for peer in self._mesh.connected():
             self._mesh.send(peer.instance, self._heartbeat(answer=False))
 
     def list_is(self, listed: Iterable[ListedInstance]) -> None:
-        """Merge the platform's list."""
+        """Apply the platform's list of instances."""
         self._listed = {entry.id: entry for entry in listed}
-        self._report(self._members.update_list(self._listed.values(), self._now()))
-        self._choose()
-        self._mesh.aim(self._aims)
+        self._report_transitions(
+            self._members.update_list(self._listed.values(), self._now())
+        )
+        self._select_peers()
+        self._mesh.set_targets(self._stream_targets)
 
     def usable(self, instance: InstanceId) -> bool:
-        """Return whether an instance may be given work or a role."""
+        """Return whether an instance may receive work or a role."""
         return self._members.usable(instance)
 
     def is_leaving(self, instance: InstanceId) -> bool:
-        """Return whether an instance announced its stop."""
+        """Return whether an instance announced its shutdown."""
         return self._members.is_leaving(instance)
 
     def keep(self, purpose: str, instance: InstanceId) -> None:
-        """Keep a stream to an instance, such as the holder of the plan.
+        """Keep a stream open to an instance, such as the lease holder.
 
-        :param purpose: a later call with the same purpose replaces the instance.
+        :param purpose: key of the stream; a later call with the same purpose
+            replaces the instance.
         """
-        if self._kept.get(purpose) != instance:
-            self._kept[purpose] = instance
-            self._choose()
-            self._mesh.aim(self._aims)
+        if self._kept_streams.get(purpose) != instance:
+            self._kept_streams[purpose] = instance
+            self._select_peers()
+            self._mesh.set_targets(self._stream_targets)
 
     def watchers(self) -> tuple[InstanceId, ...]:
         """Return the watchers of this daemon's data centre."""
         return self._watchers
 
     def is_watcher(self) -> bool:
-        """Return whether this daemon watches for its data centre.
+        """Return whether this daemon watches the store for its data centre.
 
-        A daemon that knows no other watches for itself.
+        A daemon that knows no watcher watches the store for itself.
         """
-        return not self._watchers or self._me in self._watchers
+        return not self._watchers or self._own_id in self._watchers
 
     def members(self) -> tuple[FleetMember, ...]:
-        """Return every known instance, this one included, by identifier."""
+        """Return every known instance and this one, sorted by identifier."""
         others = self._members.members(self._now())
-        return tuple(sorted((self._self(), *others), key=lambda m: m.instance))
+        return tuple(sorted((self._own_member(), *others), key=lambda m: m.instance))
 
     def in_force(self, generation: int) -> tuple[FleetMember, ...]:
-        """Return the members that are known to serve at least a generation."""
+        """Return the members known to serve at least a generation."""
         return tuple(m for m in self.members() if m.generation >= generation)
 
     def missing(self, generation: int) -> tuple[FleetMember, ...]:
@@ -129,10 +132,10 @@
             if m.generation < generation and m.state is not MemberState.GONE
         )
 
-    def _self(self) -> FleetMember:
+    def _own_member(self) -> FleetMember:
         settings, current = self._node.settings, self._node.configuration.current
         return FleetMember(
-            instance=self._me,
+            instance=self._own_id,
             region=settings.region,
             data_centre=settings.data_centre,
             state=MemberState.LEAVING if self._node.stopping else MemberState.LIVE,
@@ -140,7 +143,7 @@
             generation=0 if current is None else current.generation,
             digest="" if current is None else current.digest,
             last_heard=timedelta(),
-            listed=self._me in self._listed,
+            listed=self._own_id in self._listed,
         )
 
     def _now(self) -> timedelta:
@@ -159,40 +162,42 @@
         )
 
     def _on_round(self) -> None:
-        self._round += 1
-        self._report(self._members.tick(self._now()))
-        if self._changed:
-            self._choose()
-        self._mesh.aim(self._aims)
+        self._rounds += 1
+        self._report_transitions(self._members.tick(self._now()))
+        if self._peers_outdated:
+            self._select_peers()
+        self._mesh.set_targets(self._stream_targets)
         targets = {self._successor} if self._successor else set()
-        if self._round % CONTACT_ROUNDS == 0:
+        if self._rounds % CONTACT_INTERVAL_ROUNDS == 0:
             targets.update(self._contacts)
-        if self._round % WATCHER_ROUNDS == 0:
+        if self._rounds % WATCHER_INTERVAL_ROUNDS == 0:
             targets.update(self._watchers)
-        for instance in sorted(targets - {self._me}):
+        for instance in sorted(targets - {self._own_id}):
             self._members.expect_answer(instance, self._now())
             self._mesh.send(instance, self._heartbeat(answer=True))
 
-    def _choose(self) -> None:
+    def _select_peers(self) -> None:
         usable = tuple(i for i in self._listed if self._members.usable(i))
         centre = self._node.settings.data_centre
-        near = tuple(i for i in usable if self._listed[i].data_centre == centre)
-        self._watchers = watchers(centre, near)
-        self._successor = successor(self._me, near)
-        # A peer that looks dead stays a contact, so that it is found again.
-        self._contacts = neighbours(self._me, self._listed, CONTACTS)
-        chosen = {*self._watchers, *self._contacts, self._successor} - {self._me}
-        observed = {i for i in chosen if i is not None}
+        local = tuple(i for i in usable if self._listed[i].data_centre == centre)
+        self._watchers = watchers(centre, local)
+        self._successor = successor(self._own_id, local)
+        # A suspected peer stays a contact, so that its recovery is detected.
+        self._contacts = neighbours(self._own_id, self._listed, MAX_CONTACTS)
+        selected = {*self._watchers, *self._contacts, self._successor} - {self._own_id}
+        observed = {i for i in selected if i is not None}
         self._members.expect_answers_only_from(observed)
-        wanted = observed | {i for i in self._kept.values() if i != self._me}
-        self._aims = {
-            i: self._listed[i].peers for i in sorted(wanted) if i in self._listed
+        with_streams = observed | {
+            i for i in self._kept_streams.values() if i != self._own_id
+        }
+        self._stream_targets = {
+            i: self._listed[i].peers for i in sorted(with_streams) if i in self._listed
         }
-        self._changed = False
+        self._peers_outdated = False
 
     def _on_heartbeat(self, peer: PeerIdentity, message: Heartbeat) -> None:
         now = self._now()
-        news = PeerState(
+        peer_state = PeerState(
             peer.instance,
             peer.region,
             peer.data_centre,
@@ -201,27 +206,29 @@
             message.generation,
             message.digest.hex(),
         )
-        self._report(self._members.apply_peer_state(news, now))
+        self._report_transitions(self._members.apply_peer_state(peer_state, now))
         for rumour in message.rumours:
-            self._report(self._members.apply_rumour(rumour, now))
+            self._report_transitions(self._members.apply_rumour(rumour, now))
         if message.answer:
             self._mesh.send(peer.instance, self._heartbeat(answer=False))
 
     def _on_configuration(self, _: InForce) -> None:
-        near = (self._successor, *self._contacts)
-        for instance in {i for i in near if i is not None}:
+        recipients = (self._successor, *self._contacts)
+        for instance in {i for i in recipients if i is not None}:
             self._mesh.send(instance, self._heartbeat(answer=False))
 
-    def _report(self, transitions: Iterable[Transition]) -> None:
-        for item in transitions:
-            self._changed = True
+    def _report_transitions(self, transitions: Iterable[Transition]) -> None:
+        for transition in transitions:
+            self._peers_outdated = True
             self._node.sink.emit(
-                MemberChanged(item.instance, item.state.value, item.incarnation)
+                MemberChanged(
+                    transition.instance, transition.state.value, transition.incarnation
+                )
             )
 
 
 def listed_self(node: Node) -> ListedInstance:
-    """Return this daemon's own entry, which the platform's list may lack."""
+    """Return this daemon's own entry, which the platform's list may not contain."""
     settings = node.settings
     return ListedInstance(
         id=InstanceId(settings.instance),
--- a/packages/daemon/src/sycamorenotch_daemon/_membership_events.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership_events.py
@@ -1,4 +1,4 @@
-"""Events of the view of the fleet."""
+"""Events of fleet membership."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class MemberChanged(Event):
-    """An instance became live, leaving, suspect or gone in this daemon's view."""
+    """This daemon's view of an instance became live, leaving, suspect or gone."""
 
     instance: str
     state: str
--- a/packages/daemon/src/sycamorenotch_daemon/_peer_codec.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_peer_codec.py
@@ -1,4 +1,4 @@
-"""Encodes messages between daemons with msgpack and checks what comes in."""
+"""Encoding of messages between daemons in msgpack; validated when decoded."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
 
 SCALARS = (bool, int, str, bytes)
 
-Check = Callable[[Any], Any]
+Decoder = Callable[[Any], Any]
 
 
 class MalformedFrameError(ValueError):
-    """A frame does not hold a message of the protocol."""
+    """A frame is not a valid message of the protocol."""
 
 
 def encode_message(message: Message) -> bytes:
-    """Return the frame of a message: its number and its fields in order."""
-    return msgpack.packb([message.number, _flatten(message)])  # type: ignore[no-any-return]
+    """Encode a message as its number and its fields in order of definition."""
+    return msgpack.packb([message.number, _to_plain(message)])  # type: ignore[no-any-return]
 
 
 def decode_message(frame: bytes) -> Message | None:
-    """Return the message of a frame, or none if its type is not known.
+    """Decode a frame; return None if the message type is unknown.
 
     :raises MalformedFrameError: if the frame is not a valid message.
     """
     match unpack(frame):
         case [int(number), list(values)]:
-            cls = _classes(len(message_types)).get(number)
-            return None if cls is None else _check_of(cls)(values)
+            cls = _message_classes(len(message_types)).get(number)
+            return None if cls is None else _decoder_for(cls)(values)
         case _:
-            raise MalformedFrameError("the frame is not a number and fields")
+            raise MalformedFrameError("not a message number and a list of fields")
 
 
 def unpack(frame: bytes) -> Any:
-    """Return the plain values of a frame.
+    """Decode the msgpack value of a frame.
 
     :raises MalformedFrameError: if the frame is not msgpack.
     """
@@ -55,61 +55,61 @@
 
 
 @cache
-def _classes(_: int) -> dict[int, type[Message]]:
+def _message_classes(_: int) -> dict[int, type[Message]]:
     return {entry.value.number: entry.value for entry in message_types}
 
 
-def _flatten(value: Any) -> Any:
+def _to_plain(value: Any) -> Any:
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, tuple):
-        return [_flatten(item) for item in value]
+        return [_to_plain(item) for item in value]
     if dataclasses.is_dataclass(value):
-        return [_flatten(getattr(value, name)) for name in _names(type(value))]
+        return [_to_plain(getattr(value, name)) for name in _field_names(type(value))]
     return value
 
 
 @cache
-def _names(cls: type) -> tuple[str, ...]:
+def _field_names(cls: type) -> tuple[str, ...]:
     return tuple(field.name for field in dataclasses.fields(cls))
 
 
 @cache
-def _check_of(hint: Any) -> Check:
+def _decoder_for(hint: Any) -> Decoder:
     hint = getattr(hint, "__supertype__", hint)
     if hint in SCALARS:
-        return lambda value: _exact(hint, value)
+        return lambda value: _require_type(hint, value)
     if get_origin(hint) is tuple:
-        item = _check_of(get_args(hint)[0])
-        return lambda value: tuple(map(item, _exact(list, value)))
+        item = _decoder_for(get_args(hint)[0])
+        return lambda value: tuple(map(item, _require_type(list, value)))
     if issubclass(hint, Enum):
-        return lambda value: _member(hint, value)
-    return _record_check(hint)
+        return lambda value: _decode_enum(hint, value)
+    return _dataclass_decoder(hint)
 
 
-def _record_check(cls: type) -> Check:
+def _dataclass_decoder(cls: type) -> Decoder:
     hints = get_type_hints(cls)
-    checks = tuple(_check_of(hints[name]) for name in _names(cls))
+    decoders = tuple(_decoder_for(hints[name]) for name in _field_names(cls))
 
-    def check(values: Any) -> Any:
-        # A newer sender may add fields, an older one leave out late fields.
-        pairs = zip(checks, _exact(list, values), strict=False)
+    def decode_fields(values: Any) -> Any:
+        # A newer sender may append fields; an older one may omit trailing fields.
+        pairs = zip(decoders, _require_type(list, values), strict=False)
         try:
-            return cls(*(one(value) for one, value in pairs))
+            return cls(*(decode(value) for decode, value in pairs))
         except TypeError as exc:
-            raise MalformedFrameError(f"{cls.__name__} lacks fields") from exc
+            raise MalformedFrameError(f"missing fields of {cls.__name__}") from exc
 
-    return check
+    return decode_fields
 
 
-def _exact(kind: type, value: Any) -> Any:
+def _require_type(kind: type, value: Any) -> Any:
     if type(value) is not kind:
-        raise MalformedFrameError(f"{type(value).__name__} instead of {kind.__name__}")
+        raise MalformedFrameError(f"{type(value).__name__}, not {kind.__name__}")
     return value
 
 
-def _member(kind: type[Enum], value: Any) -> Enum:
+def _decode_enum(kind: type[Enum], value: Any) -> Enum:
     try:
         return kind(value)
     except ValueError as exc:
-        raise MalformedFrameError(f"unknown {kind.__name__}") from exc
+        raise MalformedFrameError(f"unknown value of {kind.__name__}") from exc
--- a/packages/daemon/src/sycamorenotch_daemon/_peer_events.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_peer_events.py
@@ -14,7 +14,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PeerConnected(Event):
-    """A peer proved who it is and the stream is open."""
+    """A peer was authenticated and its stream is open."""
 
     instance: str
     dialled: bool
@@ -24,7 +24,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PeerRefused(Event):
-    """A connection was closed because its other end broke the protocol."""
+    """A connection was closed because the remote end violated the protocol."""
 
     address: str
     reason: str
@@ -34,7 +34,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PeerLost(Event):
-    """An open stream was closed."""
+    """The last open stream to a peer was closed."""
 
     instance: str
 
@@ -53,4 +53,4 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PeerKeyMissing(Event):
-    """The settings name no peer key, so that no stream is accepted or opened."""
+    """The settings have no peer key; peer streams are disabled."""
--- a/packages/daemon/src/sycamorenotch_daemon/_peer_greeting.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_peer_greeting.py
@@ -1,4 +1,4 @@
-"""How two daemons prove to each other that they hold the peer key."""
+"""Handshake in which two daemons prove to each other that they hold the peer key."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PeerIdentity:
-    """Who a peer says that it is.
+    """Identity that a peer claims in its greeting.
 
-    :param incarnation: number that each start of an instance raises.
+    :param incarnation: number that is higher at each start of an instance.
     """
 
     environment: str
@@ -33,7 +33,7 @@
 
 
 def encode_greeting(identity: PeerIdentity, nonce: bytes) -> bytes:
-    """Return the frame that opens a stream."""
+    """Encode the greeting, the first frame of a stream."""
     return msgpack.packb(  # type: ignore[no-any-return]
         [
             PROTOCOL_VERSION,
@@ -48,9 +48,9 @@
 
 
 def decode_greeting(frame: bytes) -> PeerIdentity:
-    """Return the identity in a greeting, which is not proven yet.
+    """Decode the identity in a greeting; it is not authenticated yet.
 
-    :raises MalformedFrameError: if the frame is no greeting of this version.
+    :raises MalformedFrameError: if the frame is not a greeting of this version.
     """
     match unpack(frame):
         case [
@@ -64,30 +64,35 @@
             *_,
         ]:
             if version != PROTOCOL_VERSION:
-                raise MalformedFrameError(f"protocol version {version}")
+                raise MalformedFrameError(f"unsupported protocol version {version}")
             if len(nonce) != NONCE_BYTES:
-                raise MalformedFrameError("the nonce has a wrong length")
+                raise MalformedFrameError(f"the nonce is not {NONCE_BYTES} bytes long")
             name = InstanceId(instance)
             return PeerIdentity(environment, name, region, data_centre, incarnation)
         case _:
-            raise MalformedFrameError("the frame is no greeting")
+            raise MalformedFrameError("the frame is not a greeting")
 
 
-def prove(key: bytes, dialled: bool, own: bytes, other: bytes) -> bytes:
-    """Return the keyed hash over both greetings.
+def make_proof(key: bytes, dialled: bool, own: bytes, other: bytes) -> bytes:
+    """Return the HMAC over both greetings that proves possession of the key.
 
-    :param dialled: whether the prover opened the connection; it keeps a proof
-        from being sent back to its own author.
+    :param dialled: whether the prover opened the connection; part of the HMAC
+        input, so that a proof cannot be reflected to its author.
+    :param own: the prover's greeting.
+    :param other: the verifier's greeting.
     """
     role = b"dialler" if dialled else b"listener"
     parts = (len(part).to_bytes(4) + part for part in (role, own, other))
     return hmac.digest(key, b"".join(parts), hashlib.sha256)
 
 
-def proves(proof: bytes, key: bytes, dialled: bool, own: bytes, other: bytes) -> bool:
-    """Return whether a peer's proof is right.
+def verify_proof(
+    proof: bytes, key: bytes, dialled: bool, own: bytes, other: bytes
+) -> bool:
+    """Return whether a peer's proof is valid.
 
     :param dialled: whether this side opened the connection.
     :param own: this side's greeting.
+    :param other: the peer's greeting.
     """
-    return hmac.compare_digest(proof, prove(key, not dialled, other, own))
+    return hmac.compare_digest(proof, make_proof(key, not dialled, other, own))
--- a/packages/daemon/src/sycamorenotch_daemon/_peer_mesh.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_peer_mesh.py
@@ -1,4 +1,4 @@
-"""Keeps streams to chosen peers and hands their messages to components."""
+"""Streams to peers: dials, accepts, sends and dispatches received messages."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 from sycamorenotch_kernel import components
 
 CONNECT_TIMEOUT = timedelta(seconds=2)
-FIRST_BACK_OFF = timedelta(milliseconds=500)
-LONGEST_BACK_OFF = timedelta(seconds=8)
-MAXIMUM_STREAMS = 512
+INITIAL_BACKOFF = timedelta(milliseconds=500)
+MAX_BACKOFF = timedelta(seconds=8)
+MAX_STREAMS = 512
 
 M = TypeVar("M", bound=Message)
 Handler = Callable[[PeerIdentity, M], None]
@@ -41,30 +41,37 @@
 
 
 @final
-class BackOff:
-    """Delay before the next attempt to reach a peer, with full jitter."""
+class DialBackoff:
+    """Exponential backoff with full jitter between attempts to dial one peer."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        self._failures = 0
+        self._attempts = 0
         self._not_before = timedelta()
 
-    def is_over(self) -> bool:
-        """Return whether another attempt may be made."""
+    def is_elapsed(self) -> bool:
+        """Return whether the delay before the next attempt has elapsed."""
         return self._node.clock.monotonic() >= self._not_before
 
-    def failed(self) -> None:
-        """Delay the next attempt further."""
-        longest = min(LONGEST_BACK_OFF, FIRST_BACK_OFF * 2**self._failures)
-        self._failures = min(self._failures + 1, 8)
-        delay = self._node.random.random() * longest
+    def record_attempt(self) -> None:
+        """Record an attempt and increase the delay before the next one.
+
+        The peer's entry is discarded once a stream opens.
+        """
+        max_delay = min(MAX_BACKOFF, INITIAL_BACKOFF * 2**self._attempts)
+        self._attempts = min(self._attempts + 1, 8)
+        delay = self._node.random.random() * max_delay
         self._not_before = self._node.clock.monotonic() + delay
 
 
 @components.register("peers")
 @final
 class PeerMesh:
-    """Accepts peers, dials those that other components choose, and sends."""
+    """Accepts streams from peers and dials the peers that components select.
+
+    :ivar incarnation: wall clock time of the start in milliseconds, which is
+        higher at each start of an instance.
+    """
 
     after: ClassVar[tuple[str, ...]] = ()
 
@@ -75,7 +82,7 @@
         self._streams: dict[InstanceId, list[PeerStream]] = {}
         self._pending: set[PeerStream] = set()
         self._dialling: set[InstanceId] = set()
-        self._back_off: dict[InstanceId, BackOff] = {}
+        self._backoffs: dict[InstanceId, DialBackoff] = {}
         self._targets: dict[InstanceId, str] = {}
         self._handlers: dict[type[Message], list[Handler[Any]]] = {}
         self._observers: list[Observer] = []
@@ -86,7 +93,7 @@
         node.provide(Traffic, self.traffic)
 
     async def start(self) -> None:
-        """Listen for peers, if there is a key to prove them by."""
+        """Listen for peers, unless there is no key to authenticate them."""
         if not self._node.peer_key:
             self._node.sink.emit(PeerKeyMissing())
             return
@@ -96,41 +103,45 @@
         self._port = await endpoint.listen(Factory.forProtocol(self._accept))
 
     async def stop(self) -> None:
-        """Close the port and every stream."""
+        """Close the listener and every stream."""
         self._stopped = True
         if self._port is not None:
             await self._port.stopListening()
         for stream in [*self._all_streams(), *self._pending]:
             stream.close()
 
-    def handle(self, kind: type[M], handler: Handler[M]) -> None:
-        """Call a function for each message of a type."""
-        self._handlers.setdefault(kind, []).append(handler)
+    def handle(self, message_type: type[M], handler: Handler[M]) -> None:
+        """Register a function that is called for each message of a type."""
+        self._handlers.setdefault(message_type, []).append(handler)
 
     def observe(self, observer: Observer) -> None:
-        """Call a function for each peer whose stream was opened."""
+        """Register a function that is called for each newly connected peer."""
         self._observers.append(observer)
 
     def connected(self) -> tuple[PeerIdentity, ...]:
         """Return the peers that have an open stream."""
         return tuple(cast(PeerIdentity, s[-1].peer) for s in self._streams.values())
 
-    def has(self, instance: InstanceId) -> bool:
+    def is_connected(self, instance: InstanceId) -> bool:
         """Return whether a peer has an open stream."""
         return instance in self._streams
 
     def send(self, instance: InstanceId, message: Message) -> bool:
-        """Send a message to a peer, if it has a stream that takes it."""
+        """Send a message to a peer.
+
+        :return: whether the message was sent; false without an open stream or
+            while the peer reads too slowly.
+        """
         streams = self._streams.get(instance)
         return bool(streams) and streams[-1].send(message)  # type: ignore[index]
 
-    def aim(self, targets: Mapping[InstanceId, str]) -> None:
-        """Dial the targets that have no stream and hang up on former ones.
+    def set_targets(self, targets: Mapping[InstanceId, str]) -> None:
+        """Dial targets without a stream; close dialled streams to other peers.
 
         :param targets: addresses of the peers' listeners, by instance.
         """
         self._targets = dict(targets)
-        self._back_off = {k: v for k, v in self._back_off.items() if k in targets}
+        self._backoffs = {k: v for k, v in self._backoffs.items() if k in targets}
         for stream in tuple(self._all_streams()):
             peer = cast(PeerIdentity, stream.peer)
             if stream.dialled and peer.instance not in targets:
@@ -140,11 +151,11 @@
                 self._dial(instance, address)
 
     def _dial(self, instance: InstanceId, address: str) -> None:
-        back_off = self._back_off.setdefault(instance, BackOff(self._node))
-        busy = instance in self._dialling or self.has(instance)
-        if busy or not back_off.is_over():
+        backoff = self._backoffs.setdefault(instance, DialBackoff(self._node))
+        busy = instance in self._dialling or self.is_connected(instance)
+        if busy or not backoff.is_elapsed():
             return
-        back_off.failed()
+        backoff.record_attempt()
         self._dialling.add(instance)
         host, _, port = address.rpartition(":")
         endpoint = HostnameEndpoint(
@@ -176,7 +187,7 @@
             key=node.peer_key,
             identity=self._identity,
             nonce=lambda: node.random.randbytes(NONCE_BYTES),
-            accepts=self._refusal,
+            rejection_reason=self._rejection_reason,
             opened=self._on_opened,
             received=self._on_message,
             lost=self._on_lost,
@@ -194,21 +205,21 @@
             self.incarnation,
         )
 
-    def _refusal(self, peer: PeerIdentity) -> str:
+    def _rejection_reason(self, peer: PeerIdentity) -> str:
         settings = self._node.settings
         if peer.environment != settings.environment:
-            return "another environment"
+            return "the peer belongs to another environment"
         if peer.instance == settings.instance:
-            return "the identity of this instance"
+            return "the peer has the identifier of this instance"
         count = len(self._pending) + sum(map(len, self._streams.values()))
-        return "too many streams" if count > MAXIMUM_STREAMS else ""
+        return "too many streams" if count > MAX_STREAMS else ""
 
     def _on_opened(self, stream: PeerStream) -> None:
         peer = cast(PeerIdentity, stream.peer)
-        self._forget_pending(stream)
+        self._discard_pending(stream)
         known = peer.instance in self._streams
         self._streams.setdefault(peer.instance, []).append(stream)
-        self._back_off.pop(peer.instance, None)
+        self._backoffs.pop(peer.instance, None)
         if known:
             return
         self._node.sink.emit(PeerConnected(peer.instance, stream.dialled))
@@ -221,7 +232,7 @@
             handler(peer, message)
 
     def _on_lost(self, stream: PeerStream) -> None:
-        self._forget_pending(stream)
+        self._discard_pending(stream)
         instance = stream.peer.instance if stream.peer else InstanceId("")
         streams = self._streams.get(instance, [])
         if stream not in streams:
@@ -231,7 +242,7 @@
             del self._streams[instance]
             self._node.sink.emit(PeerLost(instance))
 
-    def _forget_pending(self, stream: PeerStream) -> None:
+    def _discard_pending(self, stream: PeerStream) -> None:
         self._pending.discard(stream)
         if stream.target is not None:
             self._dialling.discard(stream.target)
@@ -241,7 +252,7 @@
 
 
 def tcp_endpoint(address: str) -> str:
-    """Return the endpoint string of plain TCP on an ``IP:port``."""
+    """Return the Twisted endpoint string for plain TCP on an ``IP:port``."""
     host, _, port = address.rpartition(":")
     interface = host.strip("[]").replace(":", r"\:")
     return f"tcp:{port}:interface={interface}"
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
@@ -1,4 +1,4 @@
-"""Asks the holder whether this instance's plan is the one in force."""
+"""Confirms with the lease holder that this instance's plan is in force."""
 
 from __future__ import annotations
 
@@ -28,67 +28,67 @@
 @components.register("plan-asker")
 @final
 class PlanAsker:
-    """Keeps the instance's grants alive and reports demand to the holder.
+    """Renews the instance's grants with the lease holder and reports demand.
 
-    A loan lapses by this instance's own monotonic clock, counted from when it
-    sent the question that the holder answered.
+    A loan expires by this instance's own monotonic clock, counted from when it
+    sent the question that the holder confirmed.
     """
 
     after: ClassVar[tuple[str, ...]] = ("calls", "peers", "plan", "plan-holder")
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        self._me = InstanceId(node.settings.instance)
+        self._own_id = InstanceId(node.settings.instance)
         self._mesh = node.require(PeerMesh)
         self._watch = node.require(PlanWatch)
         self._holder = node.require(PlanHolder)
-        self._holding = HeldGrants(self._me)
+        self._held_grants = HeldGrants(self._own_id)
         self._loop = background(node.reactor, node.sink, self._turn)
-        self._question = 0
-        self._asked_at = timedelta()
+        self._question_number = 0
+        self._sent_at = timedelta()
         self._mesh.handle(PlanQuestion, self._on_question)
         self._mesh.handle(PlanConfirmation, self._on_confirmation)
-        node.provide(HeldGrants, self._holding)
+        node.provide(HeldGrants, self._held_grants)
 
     async def start(self) -> None:
-        """Start to ask."""
+        """Start to send questions."""
         self._watch.subscribe(self._on_plan)
         self._loop.start(self._node.random.random() * QUESTION_INTERVAL)
 
     async def stop(self) -> None:
-        """Stop asking."""
+        """Stop sending questions."""
         self._loop.stop()
 
     def _on_plan(self, plan: Plan) -> None:
-        self._holding.accept(plan)
+        self._held_grants.accept(plan)
 
     async def _turn(self) -> timedelta:
         plan = self._watch.plan()
         if plan is not None:
-            self._ask(plan.holder)
+            self._send_question(plan.holder)
         return QUESTION_INTERVAL * (0.9 + 0.2 * self._node.random.random())
 
-    def _ask(self, holder: InstanceId) -> None:
+    def _send_question(self, holder: InstanceId) -> None:
         now = self._node.clock.monotonic()
-        self._question += 1
-        self._asked_at = now
+        self._question_number += 1
+        self._sent_at = now
         demands = self._node.require(DemandCounter).report(now)
         question = PlanQuestion(
-            self._question,
-            self._holding.sequence,
+            self._question_number,
+            self._held_grants.sequence,
             demands,
             news_of_workers(self._node),
         )
-        if holder != self._me:
-            self._keep_stream(holder)
+        if holder != self._own_id:
+            self._keep_holder_connected(holder)
             self._mesh.send(holder, question)
             return
-        confirmation = self._answer(self._me, question)
+        confirmation = self._answer(self._own_id, question)
         if confirmation is not None:
             self._accept(confirmation)
 
-    def _keep_stream(self, holder: InstanceId) -> None:
-        # The holder need not be among the few contacts of this instance.
+    def _keep_holder_connected(self, holder: InstanceId) -> None:
+        # The holder is not necessarily one of this instance's few contacts.
         fleet = self._node.find(FleetMembership)
         if fleet is not None:
             fleet.keep("plan", holder)
@@ -96,8 +96,8 @@
     def _answer(
         self, instance: InstanceId, question: PlanQuestion
     ) -> PlanConfirmation | None:
-        self._holder.take_measurements(instance, question)
-        if not self._holder.confirms(instance, question.sequence):
+        self._holder.record_measurements(instance, question)
+        if not self._holder.try_confirm(instance, question.sequence):
             return None
         return PlanConfirmation(question.question, question.sequence)
 
@@ -114,6 +114,6 @@
             self._accept(confirmation)
 
     def _accept(self, confirmation: PlanConfirmation) -> None:
-        # An answer to an earlier question says nothing about the last one.
-        if confirmation.question == self._question:
-            self._holding.confirm(confirmation.sequence, self._asked_at)
+        # A late answer to an earlier question must not renew from the newest one.
+        if confirmation.question == self._question_number:
+            self._held_grants.confirm(confirmation.sequence, self._sent_at)
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_codec.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_codec.py
@@ -1,4 +1,4 @@
-"""Plans as msgpack, validated when they are read."""
+"""Encoding of stored plans in msgpack; validated when decoded."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class StoredPlan:
-    """A plan and the term of the lease under which it was written."""
+    """A plan and the lease term under which it was written."""
 
     term: int
     plan: Plan
@@ -40,18 +40,18 @@
     def _check(self) -> _PlanModel:
         plan = self.plan
         if plan.sequence < 1 or plan.made_at.tzinfo is None:
-            raise ValueError("the sequence or the time of the plan is not valid")
+            raise ValueError("sequence is less than 1 or made_at has no time zone")
         shares = (sum(item.share for item in route.shares) for route in plan.routes)
         if any(not 0 <= share <= 1 + SHARE_TOLERANCE for share in shares):
-            raise ValueError("the shares of a route are not between 0 and 1")
-        held = (*plan.grants, *(item.grant for item in plan.outstanding))
-        if any(min(grant.floor, grant.loan) < 0 for grant in held):
-            raise ValueError("a grant is negative")
+            raise ValueError("the shares of a route do not sum to between 0 and 1")
+        all_grants = (*plan.grants, *(item.grant for item in plan.outstanding))
+        if any(min(grant.floor, grant.loan) < 0 for grant in all_grants):
+            raise ValueError("a grant has a negative floor or loan")
         return self
 
 
 def encode_plan(stored: StoredPlan) -> bytes:
-    """Return the stored form of a plan."""
+    """Encode a plan for the store."""
     model = _PlanModel.model_construct(
         format=PLAN_FORMAT, term=stored.term, plan=stored.plan
     )
@@ -60,9 +60,9 @@
 
 
 def decode_plan(value: bytes) -> Result[StoredPlan, str]:
-    """Validate the stored form of a plan.
+    """Decode and validate a stored plan.
 
-    :return: the plan, or what is wrong with it.
+    :return: the plan, or a description of the error.
     """
     try:
         model = _PlanModel.model_validate(msgpack.unpackb(value))
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_events.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_events.py
@@ -1,4 +1,4 @@
-"""Events of the plan."""
+"""Events of plan distribution and planning."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PlanInvalid(Event):
-    """The stored plan is not valid; the one in force stays."""
+    """The stored plan is invalid; the plan in force stays."""
 
     version: int
     detail: str
@@ -35,9 +35,9 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PlanUnavailable(Event):
-    """The plan could not be read; the one in force stays.
+    """The plan could not be read; the plan in force stays.
 
-    Emitted for the first of several failures in a row.
+    Emitted only for the first of consecutive failures.
     """
 
     detail: str
@@ -47,7 +47,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PlanWritten(Event):
-    """This instance, the holder of the lease, has written a plan."""
+    """This instance wrote a plan as the lease holder."""
 
     decision: str
     term: int
@@ -59,7 +59,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PlanNotWritten(Event):
-    """A plan could not be written, or it is not known whether it was."""
+    """A plan was not written, or the outcome of the write is unknown."""
 
     term: int
     sequence: int
@@ -70,7 +70,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PlanLeaseLapsed(Event):
-    """A plan was discarded because the lease lapsed while it was made."""
+    """A plan was discarded because the lease expired while it was computed."""
 
     term: int
     sequence: int
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
@@ -1,4 +1,4 @@
-"""Makes and writes the plan while this instance holds the lease."""
+"""Computes and writes the plan while this instance holds the lease."""
 
 from __future__ import annotations
 
@@ -46,17 +46,17 @@
 @components.register("plan-holder")
 @final
 class PlanHolder:
-    """Runs the document's steering policy every few seconds and on a change.
+    """Runs the document's steering policy periodically and on configuration changes.
 
-    The first plan of a term is always written, so that a holder of an earlier
-    term, which expects an older version, can no longer write one.
+    The first plan of a term is always written. It fences off a holder of an
+    earlier term, whose conditional write expects an older version.
     """
 
     after: ClassVar[tuple[str, ...]] = ("drains", "instances", "lease", "plan")
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        self._me = InstanceId(node.settings.instance)
+        self._own_id = InstanceId(node.settings.instance)
         self._lease = node.require(PlanLease)
         self._watch = node.require(PlanWatch)
         self._loop = background(node.reactor, node.sink, self._turn)
@@ -66,35 +66,37 @@
         self._demands = FleetDemand()
         self._workers = FleetWorkers()
         self._reported: frozenset[Event] = frozenset()
-        # Whether the store is known to hold the plan that is in force here.
-        self._settled = False
+        # False after a write whose outcome is unknown.
+        self._store_synced = False
         node.provide(PlanHolder, self)
 
     async def start(self) -> None:
-        """Start to make plans."""
+        """Start the planning loop."""
         self._loop.start(PLAN_INTERVAL)
         self._node.configuration.subscribe(self._on_configuration)
 
     async def stop(self) -> None:
-        """Stop making plans."""
+        """Stop the planning loop."""
         self._loop.stop()
 
-    def take_measurements(self, instance: InstanceId, question: PlanQuestion) -> None:
-        """Take in what an instance measured."""
+    def record_measurements(self, instance: InstanceId, question: PlanQuestion) -> None:
+        """Record the demand and the worker observations of an instance."""
         now = self._node.clock.monotonic()
         self._demands.report(instance, question.demands, now)
         self._workers.report(instance, question.workers, now)
 
-    def confirms(self, instance: InstanceId, sequence: int) -> bool:
-        """Return whether the plan of an instance is the one in force.
+    def try_confirm(self, instance: InstanceId, sequence: int) -> bool:
+        """Confirm an instance's plan if it is the one in force.
 
-        A true answer renews the instance's loans.
+        A confirmation renews the instance's loans.
 
-        :param sequence: the plan that is in force at the instance, with its
-            requests in flight inside the grants.
+        :param sequence: the plan in force at the instance, whose requests in
+            flight are within the plan's grants.
+        :return: whether the plan is confirmed; always false unless this
+            instance is the acting lease holder.
         """
         plan = self._watch.plan()
-        acting = self._settled and self._is_acting()
+        acting = self._store_synced and self._is_acting()
         if not acting or plan is None:
             return False
         self._contacts.report(instance, sequence)
@@ -114,51 +116,53 @@
         return PLAN_INTERVAL
 
     async def _make_plan(self, current: InForce) -> None:
-        if not self._settled or self._term != self._lease.term:
+        if not self._store_synced or self._term != self._lease.term:
             if not await self._watch.read():
                 return
             self._begin_term()
         previous = self._watch.plan()
-        view = self._view(current)
+        view = self._build_view(current)
         decision = make_plan(view, previous, self._node.clock.now())
-        # A condition that lasts is reported once and not with every plan.
+        # A persistent condition is reported once and not with every plan.
         for event in decision.events:
             if event not in self._reported:
                 self._node.sink.emit(event)
         self._reported = frozenset(decision.events)
-        needed = decision.changed or self._written_term != self._term
-        if needed and self._holds(decision.plan, previous, view):
+        must_write = decision.changed or self._written_term != self._term
+        if must_write and self._check_invariants(decision.plan, previous, view):
             await self._write(decision)
 
-    def _holds(self, plan: Plan, previous: Plan | None, view: SteeringView) -> bool:
-        """Assert the invariants of a plan before it is written."""
+    def _check_invariants(
+        self, plan: Plan, previous: Plan | None, view: SteeringView
+    ) -> bool:
+        """Check the invariants of a plan before it is written."""
         environment, invariants = view.environment, self._node.invariants
         shifts = excess_shifts(plan, previous, environment)
         grants = excess_grants(plan, previous, environment)
         links = excess_links(plan, previous, environment, view.demands)
-        found = (
+        checks = (
             (Invariant.I1, shifts),
             (Invariant.I2, grants),
             (Invariant.I3, links),
         )
-        held = [
+        results = [
             invariants.holds(item, not excess, "; ".join(excess))
-            for item, excess in found
+            for item, excess in checks
         ]
-        return all(held)
+        return all(results)
 
     def _begin_term(self) -> None:
         if self._term != self._lease.term:
             self._contacts = PlanContacts(self._node.clock.monotonic())
         self._term = self._lease.term
-        self._settled = True
+        self._store_synced = True
 
-    def _view(self, current: InForce) -> SteeringView:
+    def _build_view(self, current: InForce) -> SteeringView:
         instances = self._node.require(InstanceView).instances()  # type: ignore[type-abstract]
         plan = self._watch.plan()
         grants = () if plan is None else plan.grants
         outstanding = () if plan is None else plan.outstanding
-        holding = (
+        grant_holders = (
             *(grant.instance for grant in grants),
             *(item.grant.instance for item in outstanding),
         )
@@ -167,9 +171,9 @@
         return SteeringView(
             environment=current.environment,
             generation=current.generation,
-            holder=self._me,
+            holder=self._own_id,
             instances=instances,
-            contacts=self._contacts.update(listed, holding, now),
+            contacts=self._contacts.update(listed, grant_holders, now),
             demands=self._demands.total(current.environment, listed, now),
             workers=self._workers.reports(listed, now),
             drained=self._drained_regions(current),
@@ -177,19 +181,21 @@
 
     def _drained_regions(self, current: InForce) -> frozenset[str]:
         drains = self._node.require(Drains).current
-        named = {d.name for d in drains if d.kind is DrainKind.DATA_CENTRE}
+        drained_names = {d.name for d in drains if d.kind is DrainKind.DATA_CENTRE}
         regions = current.environment.regions.values()
-        return frozenset(r.name for r in regions if named.issuperset(r.data_centres))
+        return frozenset(
+            r.name for r in regions if drained_names.issuperset(r.data_centres)
+        )
 
     async def _write(self, decision: PlanDecision) -> None:
         assert self._term is not None
         plan, term = decision.plan, self._term
         value = encode_plan(StoredPlan(term, plan))
         if not self._is_acting():
-            # The process may have been paused while the plan was made.
+            # The lease may have expired while the process was paused.
             self._node.sink.emit(PlanLeaseLapsed(term, plan.sequence))
             return
-        self._settled = False
+        self._store_synced = False
         store, name = self._node.store, self._node.settings.environment
         version = self._watch.version
         if version is None:
@@ -200,14 +206,14 @@
             detail = f"{result.error.fault.value}: {result.error.detail}"
             self._node.sink.emit(PlanNotWritten(term, plan.sequence, detail))
             return
-        self._settled = self._watch.accept(result.ok)
+        self._store_synced = self._watch.accept(result.ok)
         self._written_term = term
-        self._record(decision, term)
+        self._record_decision(decision, term)
 
     def _is_acting(self) -> bool:
         return self._lease.is_held() and self._lease.term == self._term
 
-    def _record(self, decision: PlanDecision, term: int) -> None:
+    def _record_decision(self, decision: PlanDecision, term: int) -> None:
         plan = decision.plan
         identifier = self._node.ids.decision()
         reasons = decision.reasons or ("This is the first plan of the term.",)
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_messages.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the holder of the lease and the other instances."""
+"""Messages between the lease holder and the other instances."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class DemandReport:
-    """Requests of one kind that reached the sender.
+    """Demand of one service, client region and rank at the sender.
 
     :param source: region of the clients.
-    :param rate: requests for each 1,000 seconds, refused ones included.
+    :param rate: requests per 1,000 seconds, including refused ones.
     """
 
     service: str
@@ -28,12 +28,12 @@
 @final
 @dataclass(frozen=True, slots=True)
 class WorkerNews:
-    """What the sender knows of an upstream worker near it.
+    """State of a worker in the sender's region, as the sender observes it.
 
-    :param load: thousandths of its slots in use by its own report; -1 if it
-        has not reported.
+    :param load: share of the worker's slots in use by its own report, in
+        thousandths; -1 if it has not reported.
     :param age: age of that report, in milliseconds.
-    :param failures: thousandths of the sender's requests that failed.
+    :param failures: share of the sender's requests that failed, in thousandths.
     """
 
     worker: str
@@ -47,12 +47,12 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PlanQuestion(Message):
-    """The sender asks whether its plan is the one in force.
+    """Asks the lease holder to confirm the sender's plan.
 
-    :param question: number of the question, returned with the answer.
+    :param question: number of the question, returned in the confirmation.
     :param sequence: plan in force at the sender.
-    :param demands: requests that reached it; what is left out did not occur.
-    :param workers: news of the workers in its region.
+    :param demands: demand at the sender; a missing entry means no requests.
+    :param workers: observations of the workers in the sender's region.
     """
 
     question: int
@@ -65,7 +65,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PlanConfirmation(Message):
-    """The holder confirms that the plan of a question is in force."""
+    """Confirms that the plan of a question is the one in force."""
 
     question: int
     sequence: int
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_view.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_view.py
@@ -1,4 +1,4 @@
-"""The plan that the other components of a daemon work by."""
+"""Read access to the plan for the other components of a daemon."""
 
 from __future__ import annotations
 
@@ -8,11 +8,8 @@
 
 
 class PlanView(Protocol):
-    """What this daemon knows of the plan.
-
-    The component that receives plans provides it to the node.
-    """
+    """Read access to the plan in force; provided by the plan watch."""
 
     def plan(self) -> Plan | None:
-        """Return the plan in force, if there is one."""
+        """Return the plan in force, or None before the first one."""
         ...
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_watch.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_watch.py
@@ -1,4 +1,4 @@
-"""Keeps the newest plan in force."""
+"""Watches the stored plan and puts newer ones in force."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 READ_TIMEOUT = timedelta(seconds=2)
 WATCH_TIMEOUT = timedelta(seconds=30)
 WATCH_INTERVAL = timedelta(milliseconds=200)
-FIRST_DELAY = timedelta(seconds=1)
-MAXIMUM_DELAY = timedelta(seconds=30)
-MAXIMUM_DOUBLINGS = 6
+INITIAL_BACKOFF = timedelta(seconds=1)
+MAX_BACKOFF = timedelta(seconds=30)
+MAX_BACKOFF_DOUBLINGS = 6
 
-Listener = Callable[[Plan], None]
+Subscriber = Callable[[Plan], None]
 
 
 @components.register("plan")
 @final
 class PlanWatch:
-    """Reads the plan from the store and watches for newer ones.
+    """Reads the plan from the store and watches for newer plans.
 
-    While the store is down the last plan stays in force.
+    The last plan stays in force while the store is unavailable.
     """
 
     after: ClassVar[tuple[str, ...]] = ("configuration",)
@@ -47,55 +47,55 @@
         self._node = node
         self._name = node.settings.environment
         self._loop = background(node.reactor, node.sink, self._turn)
-        self._listeners: list[Listener] = []
+        self._subscribers: list[Subscriber] = []
         self._failures = 0
-        self._after: Version | None = None
+        self._watch_after: Version | None = None
         self.version: Version | None = None
         self.stored: StoredPlan | None = None
         node.provide(PlanWatch, self)
         node.provide(PlanView, self)  # type: ignore[type-abstract]
 
     async def start(self) -> None:
-        """Read the plan once and start to watch."""
+        """Read the plan once and start the watch loop."""
         await self.read()
-        self._loop.start(self._node.random.random() * FIRST_DELAY)
+        self._loop.start(self._node.random.random() * INITIAL_BACKOFF)
 
     async def stop(self) -> None:
-        """Stop watching."""
+        """Stop the watch loop."""
         self._loop.stop()
 
     def plan(self) -> Plan | None:
-        """Return the plan in force, if there is one."""
+        """Return the plan in force, or None before the first one."""
         return None if self.stored is None else self.stored.plan
 
-    def subscribe(self, listener: Listener) -> None:
-        """Call a function now, if possible, and for each newer plan."""
-        self._listeners.append(listener)
+    def subscribe(self, subscriber: Subscriber) -> None:
+        """Call a function with the plan in force, if any, and with each newer one."""
+        self._subscribers.append(subscriber)
         if self.stored is not None:
-            listener(self.stored.plan)
+            subscriber(self.stored.plan)
 
     async def read(self) -> bool:
         """Read the plan from the store.
 
-        :return: whether the store told what the newest plan is.
+        :return: whether the read succeeded; an absent plan counts as success.
         """
         found = await self._node.store.get(PLAN_KIND, self._name, READ_TIMEOUT)
         if found.is_ok():
             self.accept(found.ok)
-            self._after = max(self._after or Version(0), found.ok.version)
+            self._watch_after = max(self._watch_after or Version(0), found.ok.version)
             return True
         if found.error.fault is StoreFault.NOT_FOUND:
-            # The plan stays in force, and the holder may create the object.
-            self._after = self._after or Version(0)
+            # The plan in force stays, and the holder may create the object again.
+            self._watch_after = self._watch_after or Version(0)
             self.version = None
             return True
-        self._report(found.error)
+        self._report_failure(found.error)
         return False
 
     def accept(self, stored: StoredObject) -> bool:
-        """Put a stored plan in force if it is newer.
+        """Put a stored plan in force if its version is newer.
 
-        :return: whether the plan is in force now.
+        :return: whether the stored plan is the one in force.
         """
         if self.version is not None and stored.version <= self.version:
             return stored.version == self.version
@@ -106,32 +106,34 @@
         self.version, self.stored = stored.version, decoded.ok
         term, plan = decoded.ok.term, decoded.ok.plan
         self._node.sink.emit(PlanInForceChanged(term, plan.sequence, plan.holder))
-        for listener in self._listeners:
-            listener(plan)
+        for subscriber in self._subscribers:
+            subscriber(plan)
         return True
 
     async def _turn(self) -> timedelta:
-        if self._after is None and not await self.read():
-            return self._delay()
-        assert self._after is not None
-        changes = await self._node.store.watch(PLAN_KIND, self._after, WATCH_TIMEOUT)
-        if changes.is_error():
-            self._report(changes.error)
-            return self._delay()
+        if self._watch_after is None and not await self.read():
+            return self._backoff_delay()
+        assert self._watch_after is not None
+        watched = await self._node.store.watch(
+            PLAN_KIND, self._watch_after, WATCH_TIMEOUT
+        )
+        if watched.is_error():
+            self._report_failure(watched.error)
+            return self._backoff_delay()
         self._failures = 0
-        self._after = changes.ok.version
-        for stored in changes.ok.objects:
+        self._watch_after = watched.ok.version
+        for stored in watched.ok.objects:
             if stored.name == self._name:
                 self.accept(stored)
         return WATCH_INTERVAL
 
-    def _report(self, error: StoreError) -> None:
+    def _report_failure(self, error: StoreError) -> None:
         if not self._failures:
             detail = f"{error.fault.value}: {error.detail}"
             self._node.sink.emit(PlanUnavailable(detail))
         self._failures += 1
 
-    def _delay(self) -> timedelta:
-        growth: int = 2 ** min(self._failures, MAXIMUM_DOUBLINGS)
-        longest = min(FIRST_DELAY * growth, MAXIMUM_DELAY)
-        return WATCH_INTERVAL + longest * self._node.random.random()
+    def _backoff_delay(self) -> timedelta:
+        factor: int = 2 ** min(self._failures, MAX_BACKOFF_DOUBLINGS)
+        max_delay = min(INITIAL_BACKOFF * factor, MAX_BACKOFF)
+        return WATCH_INTERVAL + max_delay * self._node.random.random()
--- a/packages/daemon/src/sycamorenotch_daemon/_store_events.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_store_events.py
@@ -1,4 +1,4 @@
-"""Events of the guard in front of the store."""
+"""Events of the guard around the store adapter."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class StoreBreakerOpened(Event):
-    """Store calls failed in a row; calls are refused but for a few probes."""
+    """Consecutive store calls failed; all calls but occasional probes are rejected."""
 
     detail: str
 
@@ -23,13 +23,13 @@
 @final
 @dataclass(frozen=True, slots=True)
 class StoreBreakerClosed(Event):
-    """The store answered a probe; calls are admitted again."""
+    """A call succeeded after the circuit breaker had opened; calls are sent again."""
 
 
 @event(4003, "store.budget-exceeded", Severity.WARNING)
 @final
 @dataclass(frozen=True, slots=True)
 class StoreBudgetExceeded(Event):
-    """A store call was refused because the call budget is used up."""
+    """A store call was rejected by the rate limit of this daemon."""
 
     call: str
--- a/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
@@ -1,4 +1,4 @@
-"""Keeps a store adapter inside its deadlines, call budget and breaker."""
+"""Deadlines, retries, a rate limit and a circuit breaker around a store adapter."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
 T = TypeVar("T")
 
 READ_ATTEMPTS = 3
-READ_BACK_OFF = timedelta(milliseconds=50)
-# A watch that has no change to report is answered at its own time limit.
+READ_BACKOFF = timedelta(milliseconds=50)
+# Without a change, a watch is answered only when its own timeout expires.
 WATCH_MARGIN = timedelta(seconds=5)
-BURST = timedelta(seconds=2)
-FAILED = frozenset({StoreFault.UNAVAILABLE, StoreFault.UNKNOWN})
+BURST_DURATION = timedelta(seconds=2)
+FAILURE_FAULTS = frozenset({StoreFault.UNAVAILABLE, StoreFault.UNKNOWN})
 
 
 class GuardedStore(Store, Directory, Protocol):
@@ -55,9 +55,9 @@
 class StoreCalls:
     """Counts of store calls by kind, for metrics.
 
-    :param made: calls handed to the adapter.
-    :param failed: calls without a regular answer.
-    :param refused: calls refused by the budget or the breaker.
+    :param made: calls sent to the adapter.
+    :param failed: calls that were unavailable or of unknown outcome.
+    :param refused: calls rejected by the rate limit or the circuit breaker.
     """
 
     made: Counter[str] = field(default_factory=Counter)
@@ -66,25 +66,25 @@
 
 
 @final
-class CallBudget:
-    """Token bucket of store calls.
+class CallRateLimit:
+    """Token bucket that limits the rate of store calls.
 
-    :param rate: calls per second on average.
+    :param rate: average number of calls per second.
     """
 
     def __init__(self, rate: float, clock: Clock) -> None:
         self._rate = rate
         self._clock = clock
-        self._most = max(1.0, rate * BURST.total_seconds())
-        self._tokens = self._most
-        self._at = clock.monotonic()
+        self._max_tokens = max(1.0, rate * BURST_DURATION.total_seconds())
+        self._tokens = self._max_tokens
+        self._refilled_at = clock.monotonic()
 
-    def take(self) -> bool:
-        """Take one call from the budget, if there is one."""
+    def try_acquire(self) -> bool:
+        """Take one token; return whether one was available."""
         now = self._clock.monotonic()
-        gained = (now - self._at).total_seconds() * self._rate
-        self._tokens = min(self._most, self._tokens + gained)
-        self._at = now
+        refill = (now - self._refilled_at).total_seconds() * self._rate
+        self._tokens = min(self._max_tokens, self._tokens + refill)
+        self._refilled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -93,12 +93,12 @@
 
 @final
 class StoreGuard:
-    """Store and directory whose calls are bounded, retried and counted.
+    """Store and directory with bounded, rate-limited and counted calls.
 
-    Only reads are retried. A write that has no answer at its deadline is
+    Only reads are retried. A write without an answer at its deadline is
     reported as :attr:`StoreFault.UNKNOWN`.
 
-    :param calls_per_second: the daemon's call budget.
+    :param calls_per_second: rate limit of this daemon's calls.
     """
 
     def __init__(
@@ -115,7 +115,7 @@
         self._reactor = reactor
         self._random = random
         self._sink = sink
-        self._budget = CallBudget(calls_per_second, clock)
+        self._rate_limit = CallRateLimit(calls_per_second, clock)
         self._breaker = Breaker(clock, random)
 
     async def get(
@@ -145,7 +145,7 @@
     async def create(
         self, kind: str, name: str, value: bytes, timeout: timedelta
     ) -> Result[StoredObject, StoreError]:
-        """Write an object that must not exist."""
+        """Write an object that must not exist yet."""
         return await self._call(
             "create",
             timeout,
@@ -156,7 +156,7 @@
     async def update(
         self, kind: str, name: str, value: bytes, expected: Version, timeout: timedelta
     ) -> Result[StoredObject, StoreError]:
-        """Replace an object of the expected version."""
+        """Replace an object if it has the expected version."""
         return await self._call(
             "update",
             timeout,
@@ -167,7 +167,7 @@
     async def delete(
         self, kind: str, name: str, expected: Version, timeout: timedelta
     ) -> Result[None, StoreError]:
-        """Remove an object of the expected version."""
+        """Remove an object if it has the expected version."""
         return await self._call(
             "delete",
             timeout,
@@ -178,7 +178,7 @@
     async def watch(
         self, kind: str, after: Version, timeout: timedelta
     ) -> Result[Changes, StoreError]:
-        """Wait for changes later than a version, or for the timeout."""
+        """Wait until an object changes after a version, or until the timeout."""
         return await self._call(
             "watch",
             timeout + WATCH_MARGIN,
@@ -192,15 +192,15 @@
         timeout: timedelta,
         perform: Callable[[], Awaitable[Result[T, StoreError]]],
     ) -> Result[T, StoreError]:
-        limit = self._reactor.seconds() + timeout.total_seconds()
+        deadline = self._reactor.seconds() + timeout.total_seconds()
         for attempt in range(READ_ATTEMPTS):
-            left = timedelta(seconds=limit - self._reactor.seconds())
-            result = await self._call(call, left, perform, StoreFault.UNAVAILABLE)
-            last = attempt == READ_ATTEMPTS - 1
-            if last or result.is_ok() or result.error.fault not in FAILED:
+            remaining = timedelta(seconds=deadline - self._reactor.seconds())
+            result = await self._call(call, remaining, perform, StoreFault.UNAVAILABLE)
+            is_last = attempt == READ_ATTEMPTS - 1
+            if is_last or result.is_ok() or result.error.fault not in FAILURE_FAULTS:
                 return result
-            delay = self._random.random() * READ_BACK_OFF.total_seconds() * 2**attempt
-            if self._reactor.seconds() + delay >= limit:
+            delay = self._random.random() * READ_BACKOFF.total_seconds() * 2**attempt
+            if self._reactor.seconds() + delay >= deadline:
                 return result
             await deferLater(self._reactor, delay)
         raise AssertionError("unreachable")
@@ -210,39 +210,39 @@
         call: str,
         timeout: timedelta,
         perform: Callable[[], Awaitable[Result[T, StoreError]]],
-        lost: StoreFault,
+        no_answer_fault: StoreFault,
     ) -> Result[T, StoreError]:
         if not self._breaker.admits():
             self.calls.refused[call] += 1
             return Error(StoreError(StoreFault.UNAVAILABLE, "the breaker is open"))
-        if not self._budget.take():
+        if not self._rate_limit.try_acquire():
             self.calls.refused[call] += 1
             self._sink.emit(StoreBudgetExceeded(call))
             return Error(StoreError(StoreFault.REFUSED, "the call budget is used up"))
         self.calls.made[call] += 1
-        result = await self._bounded(timeout, perform, lost)
-        self._judge(call, result)
+        result = await self._call_with_timeout(timeout, perform, no_answer_fault)
+        self._record_result(call, result)
         return result
 
-    async def _bounded(
+    async def _call_with_timeout(
         self,
         timeout: timedelta,
         perform: Callable[[], Awaitable[Result[T, StoreError]]],
-        lost: StoreFault,
+        no_answer_fault: StoreFault,
     ) -> Result[T, StoreError]:
         pending = Deferred.fromCoroutine(_coroutine(perform()))
         pending.addTimeout(timeout.total_seconds(), self._reactor)
         try:
             return await pending
         except TimeoutError:
-            return Error(StoreError(lost, "no answer before the deadline"))
+            return Error(StoreError(no_answer_fault, "no answer before the deadline"))
         except CancelledError:
             raise
         except Exception as exc:
-            return Error(StoreError(lost, f"{type(exc).__name__}: {exc}"))
+            return Error(StoreError(no_answer_fault, f"{type(exc).__name__}: {exc}"))
 
-    def _judge(self, call: str, result: Result[Any, StoreError]) -> None:
-        if result.is_ok() or result.error.fault not in FAILED:
+    def _record_result(self, call: str, result: Result[Any, StoreError]) -> None:
+        if result.is_ok() or result.error.fault not in FAILURE_FAULTS:
             if self._breaker.succeeded():
                 self._sink.emit(StoreBreakerClosed())
             return
--- a/testing/daemon/plan/test_plan_holder.py
+++ b/testing/daemon/plan/test_plan_holder.py
@@ -140,9 +140,9 @@
     fleet.pass_time(15)
     sequence = stored_plan(fleet).plan.sequence
     holder = fleet.holder().holder
-    assert holder.confirms("second", sequence)
-    assert not holder.confirms("second", sequence - 1)
-    assert not any(i.holder.confirms("x", sequence) for i in fleet.followers())
+    assert holder.try_confirm("second", sequence)
+    assert not holder.try_confirm("second", sequence - 1)
+    assert not any(i.holder.try_confirm("x", sequence) for i in fleet.followers())
 
 
 @pytest.mark.parametrize(
--- a/testing/daemon/plan/test_plan_routing.py
+++ b/testing/daemon/plan/test_plan_routing.py
@@ -102,7 +102,7 @@
     routing: Any, recorder: Recorder, holding: HeldGrants, clock: ManualClock
 ) -> None:
     holding.confirm(3, clock.monotonic())
-    routing._follow()
+    routing._apply_plan()
     assert recorder.grants == {"balance": 8}
     assert recorder.regions == {"balance": {"viti-west": 0.8, "vanua": 0.2}}
     assert recorder.quotas == {"viti-west": 6, "vanua": 2}
@@ -113,12 +113,12 @@
 ) -> None:
     holding.confirm(3, clock.monotonic())
     clock.advance(LOAN_LIFETIME)
-    routing._follow()
+    routing._apply_plan()
     assert recorder.grants == {"balance": 5}
 
 
 def test_nothing_changes_when_no_plan_was_confirmed(
     routing: Any, recorder: Recorder
 ) -> None:
-    routing._follow()
+    routing._apply_plan()
     assert recorder.grants == {}
--- a/testing/daemon/test_control_fleet.py
+++ b/testing/daemon/test_control_fleet.py
@@ -84,7 +84,7 @@
         for node in others:
             node.require(FleetMembership).keep("plan", holder)
         meshes = [node.require(PeerMesh) for node in others]
-        await fleet.until(lambda: all(mesh.has(holder) for mesh in meshes))
+        await fleet.until(lambda: all(mesh.is_connected(holder) for mesh in meshes))
 
     run_fleet(run_in_reactor, 18, scenario)
 
@@ -168,7 +168,7 @@
         await fleet.until(lambda: fleet.in_force(generation))
         for daemon in fleet.daemons.values():
             (watch,) = (c for c in daemon.components if type(c) is ConfigurationWatch)
-            watch._take_stored(before)
+            watch._accept_stored(before)
             assert daemon.node.configuration.generation == generation
             assert 2113 in [event.number for event in daemon.sink.events]
 
--- a/testing/daemon/test_peer_streams.py
+++ b/testing/daemon/test_peer_streams.py
@@ -19,8 +19,8 @@
 from sycamorenotch_daemon._peer_codec import MalformedFrameError
 from sycamorenotch_daemon._peer_codec import decode_message
 from sycamorenotch_daemon._peer_codec import encode_message
-from sycamorenotch_daemon._peer_greeting import prove
-from sycamorenotch_daemon._peer_greeting import proves
+from sycamorenotch_daemon._peer_greeting import make_proof
+from sycamorenotch_daemon._peer_greeting import verify_proof
 from sycamorenotch_daemon._peer_mesh import PeerMesh
 from sycamorenotch_kernel import ConfigurationRequest
 from sycamorenotch_kernel import Heartbeat
@@ -66,7 +66,7 @@
     async def run() -> None:
         await first.start()
         await second.start()
-        mesh(first).aim({InstanceId("b"): second.node.settings.peers})
+        mesh(first).set_targets({InstanceId("b"): second.node.settings.peers})
         try:
             await scenario(first, second)
         finally:
@@ -112,7 +112,7 @@
     run_in_reactor: Callable[..., Any], attack: bytes
 ) -> None:
     async def scenario(first: ControlDaemon, second: ControlDaemon) -> None:
-        await until(lambda: mesh(second).has(InstanceId("a")))
+        await until(lambda: mesh(second).is_connected(InstanceId("a")))
         host, port = second.node.settings.peers.split(":")
         endpoint = TCP4ClientEndpoint(reactor, host, int(port))
         stranger = await connectProtocol(endpoint, Protocol())
@@ -129,7 +129,7 @@
     async def scenario(first: ControlDaemon, second: ControlDaemon) -> None:
         heard: list[Heartbeat] = []
         mesh(second).handle(Heartbeat, lambda _, message: heard.append(message))
-        await until(lambda: mesh(first).has(InstanceId("b")))
+        await until(lambda: mesh(first).is_connected(InstanceId("b")))
         stream = mesh(first)._streams[InstanceId("b")][0]
         stream.sendString(msgpack.packb([1, ["malformed"]]))
         stream.sendString(msgpack.packb([60000, ["of a later version"]]))
@@ -145,15 +145,15 @@
 ) -> None:
     async def scenario(first: ControlDaemon, second: ControlDaemon) -> None:
         targets = {InstanceId("b"): second.node.settings.peers}
-        await until(lambda: mesh(first).has(InstanceId("b")))
+        await until(lambda: mesh(first).is_connected(InstanceId("b")))
         stream = mesh(first)._streams[InstanceId("b")][0]
         stream.transport.write(b"\x7f\xff\xff\xff")
-        await until(lambda: not mesh(first).has(InstanceId("b")))
+        await until(lambda: not mesh(first).is_connected(InstanceId("b")))
         assert 4102 in numbers(second)
 
         def again() -> bool:
-            mesh(first).aim(targets)
-            return mesh(first).has(InstanceId("b"))
+            mesh(first).set_targets(targets)
+            return mesh(first).is_connected(InstanceId("b"))
 
         await until(again)
 
@@ -162,9 +162,9 @@
 
 def test_proof_is_refused_when_it_is_sent_back_to_its_author() -> None:
     mine, theirs = b"my greeting", b"their greeting"
-    own_proof = prove(b"key", True, mine, theirs)
-    assert proves(own_proof, b"key", False, theirs, mine)
-    assert not proves(own_proof, b"key", True, mine, theirs)
+    own_proof = make_proof(b"key", True, mine, theirs)
+    assert verify_proof(own_proof, b"key", False, theirs, mine)
+    assert not verify_proof(own_proof, b"key", True, mine, theirs)
 
 
 @given(
