--- a/packages/daemon/src/sycamorenotch_daemon/_peer_greeting.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_peer_greeting.py
@@ -66,7 +66,7 @@
             if version != PROTOCOL_VERSION:
                 raise MalformedFrameError(f"unsupported protocol version {version}")
             if len(nonce) != NONCE_BYTES:
-                raise MalformedFrameError(f"the nonce is not {NONCE_BYTES} bytes long")
+                raise MalformedFrameError("the nonce has an invalid length")
             name = InstanceId(instance)
             return PeerIdentity(environment, name, region, data_centre, incarnation)
         case _:
--- a/testing/daemon/test_fuzz_borders.py
+++ b/testing/daemon/test_fuzz_borders.py
@@ -73,11 +73,11 @@
 @pytest.mark.parametrize(
     "decode",
     [
-        _http_store._object,
-        _http_store._objects,
-        _http_store._changes,
-        _http_store._instances,
-        lambda content: _http_store._error(412, content),
+        _http_store._decode_object,
+        _http_store._decode_objects,
+        _http_store._decode_changes,
+        _http_store._decode_instances,
+        lambda content: _http_store._decode_error(412, content),
     ],
     ids=["object", "objects", "changes", "instances", "error"],
 )
