--- a/packages/daemon/src/sycamorenotch_daemon/__init__.py
+++ b/packages/daemon/src/sycamorenotch_daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon that runs on each entry instance."""
+"""The daemon that runs on each instance."""
 
 from __future__ import annotations
 
--- a/packages/daemon/src/sycamorenotch_daemon/_build.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_build.py
@@ -1,4 +1,4 @@
-"""Builds a daemon from its settings."""
+"""Assembles a daemon from its settings."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Surroundings:
-    """What a daemon takes from the process that it runs in.
+    """Dependencies of a daemon on its process; tests replace them.
 
     :param strict: whether a violated invariant raises an exception.
     """
@@ -46,44 +46,45 @@
 def build_daemon(
     settings: DaemonSettings, reactor: Any, surroundings: Surroundings | None = None
 ) -> Daemon:
-    """Build a daemon with every component that is registered.
+    """Build a daemon with every registered component.
 
     :param settings: validated settings.
-    :param reactor: the one loop of the process.
-    :param surroundings: the system's clock, random source and log if absent.
+    :param reactor: the reactor of the process.
+    :param surroundings: defaults to the system's clock and random source and to
+        the eliot log.
     :raises OSError: if a secret file cannot be read.
     """
     load_plugins()
     install_literal_resolver(reactor)
-    around = Surroundings() if surroundings is None else surroundings
+    dependencies = Surroundings() if surroundings is None else surroundings
     adapter = store_adapters.get(settings.store_adapter)(settings.store_url, reactor)
     metrics = Metrics()
-    sink = FanOutSink(around.sink, MetricsSink(metrics))
+    sink = FanOutSink(dependencies.sink, MetricsSink(metrics))
     store = StoreGuard(
         adapter,
         reactor,
-        around.clock,
-        around.random,
+        dependencies.clock,
+        dependencies.random,
         sink,
         settings.calls_per_second,
     )
     node = Node(
         settings=settings,
         reactor=reactor,
-        clock=around.clock,
-        random=around.random,
+        clock=dependencies.clock,
+        random=dependencies.random,
         sink=sink,
         decisions=RecentDecisions(),
-        invariants=InvariantMonitor(sink, strict=around.strict),
+        invariants=InvariantMonitor(sink, strict=dependencies.strict),
         store=store,
         directory=store,
-        token=_secret(settings.operator_token_file),
-        peer_key=_secret(settings.peer_key_file).encode(),
+        token=_read_secret(settings.operator_token_file),
+        peer_key=_read_secret(settings.peer_key_file).encode(),
     )
     node.provide(Metrics, metrics)
     node.provide(StoreCalls, store.calls)
     return Daemon(node)
 
 
-def _secret(path: str) -> str:
+def _read_secret(path: str) -> str:
     return Path(path).read_text().strip() if path else ""
--- a/packages/daemon/src/sycamorenotch_daemon/_burn.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_burn.py
@@ -1,4 +1,4 @@
-"""Records how each service-level objective is met."""
+"""Records calls against service-level objectives and raises burn-rate alarms."""
 
 from __future__ import annotations
 
@@ -32,21 +32,21 @@
 from sycamorenotch_policies import CountRing
 from sycamorenotch_policies import WindowedCounts
 
-LOWEST_LATENCY_MS = 1
-HIGHEST_LATENCY_MS = 3_600_000
-LATENCY_DIGITS = 2
-DECISIONS_KEPT = 5
+MIN_LATENCY_MS = 1
+MAX_LATENCY_MS = 3_600_000
+LATENCY_SIGNIFICANT_DIGITS = 2
+MAX_DECISIONS_PER_KIND = 5
 CHECK_INTERVAL = timedelta(minutes=1)
-SPENT_STEP = timedelta(hours=1)
-SERVER_ERROR = 500
-SLOW = "slow"
+SPENT_RESOLUTION = timedelta(hours=1)
+MIN_SERVER_ERROR_STATUS = 500
+SLOW_KIND = "slow"
 
 
 @event(2410, "burn.alarm-raised", Severity.WARNING)
 @final
 @dataclass(frozen=True, slots=True)
 class BurnAlarmRaised(Event):
-    """This instance spends an objective's error budget too fast."""
+    """The burn rate of an objective on this instance exceeds the alarm's threshold."""
 
     service: str
     rank: str
@@ -57,7 +57,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class BurnAlarmCleared(Event):
-    """This instance no longer spends an objective's error budget too fast."""
+    """The burn rate of an objective fell below the alarm's threshold."""
 
     service: str
     rank: str
@@ -67,10 +67,11 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Spender:
-    """A cause that spent error budget in the longest window.
+    """Share of one kind of failure in the error budget spent in the longest window.
 
     :param kind: an error kind, ``slow``, or the class of an upstream's status.
-    :param decisions: the newest decisions of this kind.
+    :param count: number of failed or slow calls of this kind.
+    :param decisions: identifiers of the newest calls of this kind.
     """
 
     kind: str
@@ -80,62 +81,66 @@
 
 @final
 class ObjectiveRecorder:
-    """Counts, latencies and spenders of one objective."""
+    """Counts, latencies and failure kinds of one objective."""
 
     def __init__(self, objective: Objective) -> None:
         self.objective = objective
         self.alarms: frozenset[BurnAlarm] = frozenset()
         self._counts = WindowedCounts()
         self._histogram = HdrHistogram(
-            LOWEST_LATENCY_MS, HIGHEST_LATENCY_MS, LATENCY_DIGITS
+            MIN_LATENCY_MS, MAX_LATENCY_MS, LATENCY_SIGNIFICANT_DIGITS
         )
         self._spent: dict[str, CountRing] = {}
         self._decisions: dict[str, deque[DecisionId]] = {}
 
     @property
     def target(self) -> BurnTarget:
-        """The shares that the objective asks for."""
+        """The target shares of the objective."""
         objective = self.objective
         return BurnTarget(objective.availability, objective.latency_share)
 
     def record(
         self, now: timedelta, call: Call, result: CallResult, latency: timedelta
     ) -> None:
-        """Count one finished call."""
-        milliseconds = max(LOWEST_LATENCY_MS, latency // timedelta(milliseconds=1))
-        self._histogram.record_value(min(milliseconds, HIGHEST_LATENCY_MS))
-        failed = _status(result) >= SERVER_ERROR
+        """Record one finished call."""
+        milliseconds = max(MIN_LATENCY_MS, latency // timedelta(milliseconds=1))
+        self._histogram.record_value(min(milliseconds, MAX_LATENCY_MS))
+        failed = _status(result) >= MIN_SERVER_ERROR_STATUS
         slow = not failed and latency > self.objective.latency
         counts = BurnCounts(1, int(failed), int(slow))
         self._counts.add(now, counts)
         if failed or slow:
-            kind = outcome_of(result) if failed else SLOW
-            self._spend(now, kind, counts, call.id)
+            kind = outcome_of(result) if failed else SLOW_KIND
+            self._record_spent(now, kind, counts, call.id)
 
-    def _spend(
+    def _record_spent(
         self, now: timedelta, kind: str, counts: BurnCounts, decision: DecisionId
     ) -> None:
-        longest = BurnWindow.THREE_DAYS.length
-        ring = self._spent.setdefault(kind, CountRing(SPENT_STEP, longest))
+        longest_window = BurnWindow.THREE_DAYS.length
+        ring = self._spent.setdefault(kind, CountRing(SPENT_RESOLUTION, longest_window))
         ring.add(now, counts)
-        newest = self._decisions.setdefault(kind, deque(maxlen=DECISIONS_KEPT))
+        newest = self._decisions.setdefault(kind, deque(maxlen=MAX_DECISIONS_PER_KIND))
         newest.append(decision)
 
     def counts(self, now: timedelta) -> dict[BurnWindow, BurnCounts]:
-        """Return the counts of every window that ends now."""
+        """Return the counts by window; every window ends now."""
         return self._counts.counts(now)
 
     def spenders(self, now: timedelta) -> tuple[Spender, ...]:
-        """Return what spent the budget, the largest first."""
-        longest = BurnWindow.THREE_DAYS.length
+        """Return the kinds of failure that spent error budget, the largest first."""
+        longest_window = BurnWindow.THREE_DAYS.length
         found = (
-            Spender(kind, ring.counts(now, longest).total, tuple(self._decisions[kind]))
+            Spender(
+                kind,
+                ring.counts(now, longest_window).total,
+                tuple(self._decisions[kind]),
+            )
             for kind, ring in self._spent.items()
         )
         return tuple(sorted(found, key=lambda item: (-item.count, item.kind)))
 
     def encoded_histogram(self) -> str:
-        """Return the latencies since the start, in a form that can be merged."""
+        """Return the latency histogram since the start as mergeable HDR V2 text."""
         return str(self._histogram.encode().decode())
 
 
@@ -156,17 +161,17 @@
         node.require(CallPath).observe(self._on_call)
 
     async def start(self) -> None:
-        """Start to check the alarms."""
+        """Start to check the alarms periodically."""
         self._check.start(CHECK_INTERVAL.total_seconds(), now=False)
 
     async def stop(self) -> None:
-        """Stop checking."""
+        """Stop checking the alarms."""
         if self._check.running:
             self._check.stop()
 
     @property
     def recorders(self) -> tuple[ObjectiveRecorder, ...]:
-        """The recorders, in the order of the document."""
+        """The recorders, in the document's order of objectives."""
         return tuple(self._recorders.values())
 
     def _on_configuration(self, in_force: InForce) -> None:
@@ -190,10 +195,10 @@
         now = self._node.clock.monotonic()
         for recorder in self.recorders:
             raised = frozenset(raised_alarms(recorder.target, recorder.counts(now)))
-            self._report(recorder, raised)
+            self._report_alarms(recorder, raised)
             recorder.alarms = raised
 
-    def _report(
+    def _report_alarms(
         self, recorder: ObjectiveRecorder, raised: frozenset[BurnAlarm]
     ) -> None:
         service, rank = recorder.objective.service, recorder.objective.rank.label
--- a/packages/daemon/src/sycamorenotch_daemon/_burn_endpoints.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_burn_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint that shows how the objectives are met on one instance."""
+"""Endpoint that returns the objective counts of one instance."""
 
 from __future__ import annotations
 
@@ -22,8 +22,10 @@
 class ObjectiveBody:
     """Counts of one objective on one instance.
 
+    :param latency_share: target share of calls within ``latency_s``.
     :param windows: counts by the label of the window.
     :param histogram: latencies in milliseconds, encoded as HDR V2.
+    :param spent: kinds of failure that spent error budget, the largest first.
     """
 
     service: str
@@ -47,7 +49,7 @@
 
 @endpoint("GET", "/v1/burn")
 async def burn(node: Node, req: OperatorRequest) -> OperatorResult:
-    """Return what the report on service-level burn is made of."""
+    """Return the data of this instance for the burn report."""
     recorders = node.require(BurnRecorder).recorders
     objectives = tuple(_body(node, recorder) for recorder in recorders)
     return Ok(BurnBody(node.settings.instance, objectives))
--- a/packages/daemon/src/sycamorenotch_daemon/_clock.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_clock.py
@@ -1,4 +1,4 @@
-"""The clock of a running daemon."""
+"""Clocks of the operating system and of a reactor."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 @final
 class ReactorClock:
-    """Clock of a reactor, for runs under a virtual clock.
+    """Clock that follows a reactor, for runs under a virtual clock.
 
-    :param reactor: source of the time in seconds.
+    :param reactor: source of the monotonic time in seconds.
     :param start: wall clock time at the reactor's origin, in UTC.
     """
 
--- a/packages/daemon/src/sycamorenotch_daemon/_daemon.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_daemon.py
@@ -27,7 +27,7 @@
         )
 
     async def start(self) -> None:
-        """Start every component in order."""
+        """Start the components in order of their dependencies."""
         for component in self._components:
             await component.start()
         settings = self.node.settings
@@ -36,10 +36,12 @@
         )
 
     async def stop(self, *, linger: bool = True) -> None:
-        """Leave the look-up answers, finish what is in flight, and stop.
+        """Leave the look-up answers, drain calls in flight and stop the components.
 
-        :param linger: whether to serve until earlier look-up answers have run
-            out; without callers there is nobody to wait for.
+        A second call returns at once.
+
+        :param linger: whether to serve until earlier look-up answers expire;
+            not needed if there are no callers.
         """
         if self.node.stopping:
             return
--- a/packages/daemon/src/sycamorenotch_daemon/_demand.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_demand.py
@@ -1,4 +1,4 @@
-"""Counts the requests that callers offer, by service, client region and rank."""
+"""Measures the callers' demand by service, client region and rank."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from sycamorenotch_kernel import call_stages
 from sycamorenotch_policies import BlockTable
 
-PERIODS = 5
+WINDOW_PERIODS = 5
 REPORT_SCALE_S = 1000
 
 DemandKey = tuple[str, str, Rank]
@@ -27,28 +27,28 @@
 
 @final
 class DemandCounter:
-    """Rates over the last few periods between reports."""
+    """Request rates over a sliding window of the last report periods."""
 
     def __init__(self, now: timedelta) -> None:
         self._current: Counter[DemandKey] = Counter()
         self._periods: deque[tuple[timedelta, Counter[DemandKey]]] = deque(
-            maxlen=PERIODS
+            maxlen=WINDOW_PERIODS
         )
-        self._since = now
+        self._period_start = now
 
     def count(self, key: DemandKey) -> None:
         """Count one request."""
         self._current[key] += 1
 
     def report(self, now: timedelta) -> tuple[DemandReport, ...]:
-        """End a period and return the rates that are not zero."""
-        self._periods.append((now - self._since, self._current))
-        self._current, self._since = Counter(), now
+        """End the current period and return the non-zero rates of the window."""
+        self._periods.append((now - self._period_start, self._current))
+        self._current, self._period_start = Counter(), now
         span = sum((length for length, _ in self._periods), timedelta())
         seconds = span.total_seconds()
         if not seconds:
             return ()
-        total = sum((counted for _, counted in self._periods), Counter())
+        total = sum((counts for _, counts in self._periods), Counter())
         return tuple(
             DemandReport(*key, round(count * REPORT_SCALE_S / seconds))
             for key, count in sorted(total.items())
@@ -58,12 +58,12 @@
 @call_stages.register("demand")
 @final
 class DemandStage:
-    """Counts every call, also one that later stages refuse."""
+    """Counts every call, including calls that later stages refuse."""
 
     after: ClassVar[tuple[str, ...]] = ()
 
     def __init__(self, node: Node) -> None:
-        self._home = node.settings.region
+        self._own_region = node.settings.region
         self._counter = DemandCounter(node.clock.monotonic())
         self._blocks: BlockTable | None = None
         self._regions: tuple[str, ...] = ()
@@ -71,7 +71,7 @@
         node.configuration.subscribe(self._on_configuration)
 
     async def run(self, call: Call, proceed: Proceed) -> CallResult:
-        """Count the call and hand it on."""
+        """Count the call and forward it to the next stage."""
         source = self._region_of(call.client)
         self._counter.count((call.route.service, source, call.rank))
         return await proceed(call)
@@ -87,4 +87,4 @@
 
     def _region_of(self, client: str) -> str:
         found = None if self._blocks is None else self._blocks.find(ip_address(client))
-        return self._home if found is None else self._regions[found]
+        return self._own_region if found is None else self._regions[found]
--- a/packages/daemon/src/sycamorenotch_daemon/_document_codec.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_document_codec.py
@@ -1,8 +1,8 @@
-"""Encoding of an environment's object in the store.
+"""Encoding of environment documents in the store.
 
-The object holds the document, who wrote it and when, the drains, and a
-bounded history, so that one conditional update changes all of them together.
-A plain INI document is accepted too.
+The stored object is an envelope of the document, its author and time, the
+drains and a bounded history, so that one conditional update changes all of them
+atomically. A plain INI document without an envelope is accepted too.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class InvalidEnvelopeError(ValueError):
-    """The stored value is neither an envelope nor a document."""
+    """The stored value is neither a valid envelope nor UTF-8 text."""
 
 
 @final
@@ -34,9 +34,9 @@
 class Revision:
     """One generation in the history of an environment.
 
-    :param change: what was changed, in a few words.
-    :param source: environment and generation that were copied, if any.
-    :param attempt: identifier of the write.
+    :param change: short description of the change.
+    :param source: environment and generation that a promotion copied, if any.
+    :param attempt: identifier of the write attempt.
     """
 
     generation: int
@@ -51,7 +51,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class StoredDocument:
-    """An environment's object in the store.
+    """An environment's document with its metadata, as stored.
 
     :param history: earlier generations, the newest first.
     """
@@ -67,11 +67,11 @@
 
     @property
     def digest(self) -> str:
-        """Hash of the document's text."""
+        """SHA-256 of the document's text in hexadecimal."""
         return hashlib.sha256(self.text.encode()).hexdigest()
 
     def revision(self, generation: int) -> Revision:
-        """Return the entry of this generation for the history."""
+        """Return the history entry of this generation."""
         return Revision(
             generation,
             self.author,
@@ -117,25 +117,25 @@
 
 
 def encode_document(document: StoredDocument) -> bytes:
-    """Return the value to store."""
+    """Encode a document and its metadata for the store."""
     return _EnvelopeModel(**asdict(document)).model_dump_json().encode()
 
 
 def decode_document(value: bytes) -> StoredDocument:
-    """Return the object that a stored value holds.
+    """Decode a stored value, which may also be a plain INI document.
 
-    :raises InvalidEnvelopeError: if the value cannot be read.
+    :raises InvalidEnvelopeError: if the value cannot be decoded.
     """
     # An INI document cannot start with a brace.
     if not value.startswith(b"{"):
-        return StoredDocument(_text(value))
+        return StoredDocument(_decode_text(value))
     try:
         model = _EnvelopeModel.model_validate_json(value)
     except ValidationError as exc:
-        # The input itself stays out of the message, which is logged.
+        # The message is logged and must not contain the input.
         first = exc.errors(include_input=False, include_context=False)[0]
-        place = ".".join(map(str, first["loc"])) or "envelope"
-        raise InvalidEnvelopeError(f"malformed {place}: {first['msg']}") from None
+        location = ".".join(map(str, first["loc"])) or "envelope"
+        raise InvalidEnvelopeError(f"malformed {location}: {first['msg']}") from None
     fields: dict[str, Any] = dict(model)
     del fields["format"]
     fields["drains"] = tuple(Drain(**dict(item)) for item in model.drains)
@@ -143,7 +143,7 @@
     return StoredDocument(**fields)
 
 
-def _text(value: bytes) -> str:
+def _decode_text(value: bytes) -> str:
     try:
         return value.decode()
     except UnicodeDecodeError:
--- a/packages/daemon/src/sycamorenotch_daemon/_document_endpoints.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_document_endpoints.py
@@ -30,7 +30,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class DocumentBody:
-    """An environment's object, as operators see it."""
+    """Response body with an environment's document and its metadata."""
 
     environment: str
     generation: int
@@ -46,14 +46,17 @@
 @final
 @dataclass(frozen=True, slots=True)
 class HistoryBody:
-    """The kept generations of an environment, the newest first."""
+    """Response body with the history of an environment.
+
+    :param revisions: the retained generations, the newest first.
+    """
 
     environment: str
     revisions: tuple[Revision, ...]
 
 
 def document_body(name: str, found: VersionedDocument) -> DocumentBody:
-    """Return what operators are shown of an object."""
+    """Return the response body for a document."""
     document = found.document
     return DocumentBody(
         environment=name,
@@ -78,7 +81,7 @@
 
 @endpoint("GET", "/v1/documents/<name>/history")
 async def read_history(node: Node, req: OperatorRequest) -> OperatorResult:
-    """Return who wrote which generation, and when."""
+    """Return the author and time of each retained generation."""
     name = req.arguments["name"]
     found = await DocumentStore(node).read(name)
     return found.map(lambda item: HistoryBody(name, item.history))
@@ -86,16 +89,16 @@
 
 @endpoint("PUT", "/v1/documents/<name>")
 async def write_document(node: Node, req: OperatorRequest) -> OperatorResult:
-    """Store a document if nobody has changed the one that was seen."""
+    """Store a document if the expected generation is still the newest."""
     name = req.arguments["name"]
     text = _valid_text(req.body)
     if text.is_error():
         return Error(text.error)
     store = DocumentStore(node)
-    seen = await _seen(store, name, req.expected)
-    if seen.is_error():
-        return Error(seen.error)
-    base = StoredDocument("") if seen.ok is None else seen.ok.document
+    previous = await _read_expected(store, name, req.expected)
+    if previous.is_error():
+        return Error(previous.error)
+    base = StoredDocument("") if previous.ok is None else previous.ok.document
     changed = replace(
         base,
         text=text.ok,
@@ -103,11 +106,11 @@
         change="promotion" if req.source else "document",
         source=req.source,
     )
-    written = await store.write(name, changed, seen.ok)
+    written = await store.write(name, changed, previous.ok)
     return written.map(lambda item: document_body(name, item))
 
 
-async def _seen(
+async def _read_expected(
     store: DocumentStore, name: str, expected: str | None
 ) -> Result[VersionedDocument | None, Failure]:
     if expected is None:
--- a/packages/daemon/src/sycamorenotch_daemon/_document_store.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_document_store.py
@@ -1,4 +1,4 @@
-"""Conditional writes of an environment's object."""
+"""Conditional writes of environment documents."""
 
 from __future__ import annotations
 
@@ -32,86 +32,89 @@
 @final
 @dataclass(frozen=True, slots=True)
 class VersionedDocument:
-    """An environment's object and its generation."""
+    """An environment's stored document and its generation."""
 
     generation: int
     document: StoredDocument
 
     @property
     def history(self) -> tuple[Revision, ...]:
-        """This generation and the earlier ones, the newest first."""
+        """This generation and earlier ones, the newest first."""
         return self.document.history_at(self.generation)
 
 
 @final
 class DocumentStore:
-    """Reads and writes the objects of environments.
+    """Reads and writes the stored documents of environments.
 
-    A write carries an attempt identifier. When its answer is lost the object
-    is read back, and the identifier tells whether the write took effect.
+    Each write has an attempt identifier. If the outcome of a write is unknown,
+    the document is read back and the identifier shows whether it took effect.
     """
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     async def read(self, name: str) -> Result[VersionedDocument, Failure]:
-        """Read the object of an environment."""
+        """Read the stored document of an environment."""
         found = await self._node.store.get(ENVIRONMENT_KIND, name, CALL_TIMEOUT)
         if found.is_error():
-            return Error(_failure(found.error, name))
+            return Error(_to_failure(found.error, name))
         return _decode(found.ok)
 
     async def write(
-        self, name: str, changed: StoredDocument, seen: VersionedDocument | None
+        self, name: str, changed: StoredDocument, base: VersionedDocument | None
     ) -> Result[VersionedDocument, Failure]:
-        """Write a changed object if the seen one is still the newest.
+        """Write a changed document if its base is still the newest generation.
 
-        :param seen: what the change is based on, or None to create.
+        :param base: the version that the change is based on, or None to create.
         """
         stamped = replace(
             changed,
             at=self._node.clock.now(),
             attempt=self._node.ids.attempt(),
-            history=() if seen is None else seen.history,
+            history=() if base is None else base.history,
         )
         for _ in range(WRITE_ATTEMPTS):
-            written = await self._send(name, encode_document(stamped), seen)
+            written = await self._write_once(name, encode_document(stamped), base)
             if written.is_ok():
                 return _decode(written.ok)
             if written.error.fault not in (StoreFault.UNKNOWN, StoreFault.CONFLICT):
-                return Error(_failure(written.error, name))
-            settled = await self._settle(name, stamped.attempt, seen)
-            if settled is not None:
-                return settled
-        detail = "the store did not answer; it is unknown whether the write took effect"
+                return Error(_to_failure(written.error, name))
+            resolved = await self._resolve_unknown_outcome(name, stamped.attempt, base)
+            if resolved is not None:
+                return resolved
+        detail = "no answer from the store; unknown whether the write took effect"
         return Error(Failure(ErrorKind.STORE_UNAVAILABLE, detail))
 
-    async def _send(
-        self, name: str, value: bytes, seen: VersionedDocument | None
+    async def _write_once(
+        self, name: str, value: bytes, base: VersionedDocument | None
     ) -> Result[StoredObject, StoreError]:
         store = self._node.store
-        if seen is None:
+        if base is None:
             return await store.create(ENVIRONMENT_KIND, name, value, CALL_TIMEOUT)
-        expected = Version(seen.generation)
+        expected = Version(base.generation)
         return await store.update(ENVIRONMENT_KIND, name, value, expected, CALL_TIMEOUT)
 
-    async def _settle(
-        self, name: str, attempt: str, seen: VersionedDocument | None
+    async def _resolve_unknown_outcome(
+        self, name: str, attempt: str, base: VersionedDocument | None
     ) -> Result[VersionedDocument, Failure] | None:
-        """Return what became of a write, or None if it may be sent again."""
+        """Resolve a write of unknown outcome.
+
+        :return: the outcome, or None if the write may be retried.
+        """
         found = await self.read(name)
         if found.is_error():
             return None
         current = found.ok
         if any(item.attempt == attempt for item in current.history):
             return Ok(current)
-        if seen is not None and current.generation == seen.generation:
+        if base is not None and current.generation == base.generation:
             return None
         return Error(conflict(name, current))
 
 
 def conflict(name: str, current: VersionedDocument) -> Failure:
-    """Return the failure that tells a writer who was first, and when."""
+    """Return a conflict that names the author and time of the newer generation."""
     document = current.document
     author = document.author or "an unknown author"
     when = "" if document.at is None else f" at {document.at.isoformat()}"
@@ -130,7 +133,7 @@
     return Ok(VersionedDocument(stored.version, document))
 
 
-def _failure(error: StoreError, name: str) -> Failure:
+def _to_failure(error: StoreError, name: str) -> Failure:
     if error.fault is StoreFault.NOT_FOUND:
         return Failure(ErrorKind.NOT_FOUND, f"there is no environment {name!r}")
     return Failure(ErrorKind.STORE_UNAVAILABLE, f"{error.fault.value}: {error.detail}")
--- a/packages/daemon/src/sycamorenotch_daemon/_drain_endpoints.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_drain_endpoints.py
@@ -24,7 +24,7 @@
 from sycamorenotch_kernel import ErrorKind
 from sycamorenotch_kernel import Failure
 
-# Two operators who drain different things at once must both succeed.
+# Operators who drain different targets concurrently must all succeed.
 CHANGE_ATTEMPTS = 5
 
 Change = Callable[[tuple[Drain, ...]], tuple[Drain, ...]]
@@ -32,7 +32,7 @@
 
 @endpoint("PUT", "/v1/drains/<environment>/<kind>/<name>")
 async def drain(node: Node, req: OperatorRequest) -> OperatorResult:
-    """Give something no new work."""
+    """Drain a target, so that it receives no new work."""
     target = _target(node, req)
     if target.is_error():
         return Error(target.error)
@@ -40,12 +40,12 @@
     def add(current: tuple[Drain, ...]) -> tuple[Drain, ...]:
         return (*_without(current, target.ok), target.ok)
 
-    return await _change(node, req, f"drain {_label(target.ok)}", add, target.ok)
+    return await _apply_change(node, req, f"drain {_label(target.ok)}", add, target.ok)
 
 
 @endpoint("DELETE", "/v1/drains/<environment>/<kind>/<name>")
 async def undo_drain(node: Node, req: OperatorRequest) -> OperatorResult:
-    """Give something new work again."""
+    """Remove a drain, so that its target receives new work again."""
     target = _target(node, req)
     if target.is_error():
         return Error(target.error)
@@ -53,28 +53,34 @@
     def remove(current: tuple[Drain, ...]) -> tuple[Drain, ...]:
         return _without(current, target.ok)
 
-    return await _change(node, req, f"undo drain {_label(target.ok)}", remove, None)
+    return await _apply_change(
+        node, req, f"undo drain {_label(target.ok)}", remove, None
+    )
 
 
-async def _change(
-    node: Node, req: OperatorRequest, what: str, change: Change, added: Drain | None
+async def _apply_change(
+    node: Node,
+    req: OperatorRequest,
+    description: str,
+    change: Change,
+    added: Drain | None,
 ) -> OperatorResult:
     name, store = req.arguments["environment"], DocumentStore(node)
-    result: OperatorResult = Error(Failure(ErrorKind.CONFLICT, "too many writers"))
+    result: OperatorResult = Error(Failure(ErrorKind.CONFLICT, "too many conflicts"))
     for _ in range(CHANGE_ATTEMPTS):
         found = await store.read(name)
         if found.is_error():
             return Error(found.error)
         document = found.ok.document
         if added is not None:
-            problem = _unknown_name(node, document.text, added)
+            problem = _check_name(node, document.text, added)
             if problem is not None:
                 return Error(problem)
         changed = replace(
             document,
             drains=change(document.drains),
             author=req.author,
-            change=what,
+            change=description,
             source="",
         )
         written = await store.write(name, changed, found.ok)
@@ -89,11 +95,11 @@
         kind = DrainKind(req.arguments["kind"])
     except ValueError:
         accepted = ", ".join(item.value for item in DrainKind)
-        return Error(Failure(ErrorKind.BAD_REQUEST, f"a drain is of {accepted}"))
+        return Error(Failure(ErrorKind.BAD_REQUEST, f"accepted kinds: {accepted}"))
     return Ok(Drain(kind, req.arguments["name"], req.author, node.clock.now()))
 
 
-def _unknown_name(node: Node, text: str, target: Drain) -> Failure | None:
+def _check_name(node: Node, text: str, target: Drain) -> Failure | None:
     try:
         environment = parse_environment(text)
     except InvalidFileError as exc:
--- a/packages/daemon/src/sycamorenotch_daemon/_drains.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_drains.py
@@ -1,4 +1,4 @@
-"""Keeps the drains of the configuration in force."""
+"""Applies the drains of the configuration in force."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 @components.register("drains")
 @final
-class DrainKeeper:
-    """Provides the drains that came with the configuration in force."""
+class DrainsComponent:
+    """Provides the drains of the configuration in force to other components."""
 
     after: ClassVar[tuple[str, ...]] = ()
 
@@ -38,7 +38,7 @@
         node.configuration.subscribe(self._on_configuration)
 
     async def start(self) -> None:
-        """Do nothing; the drains follow the configuration."""
+        """Do nothing; the drains are updated by configuration changes."""
 
     async def stop(self) -> None:
         """Do nothing; there is nothing to release."""
@@ -47,5 +47,7 @@
         if in_force.drains == self._drains.current:
             return
         self._drains.replace(in_force.drains)
-        named = ", ".join(f"{d.kind.value} {d.name}" for d in in_force.drains)
-        self._node.sink.emit(DrainsChanged(in_force.generation, named or "nothing"))
+        drained_names = ", ".join(f"{d.kind.value} {d.name}" for d in in_force.drains)
+        self._node.sink.emit(
+            DrainsChanged(in_force.generation, drained_names or "nothing")
+        )
--- a/packages/daemon/src/sycamorenotch_daemon/_events.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_events.py
@@ -27,7 +27,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class DaemonStopping(Event):
-    """The daemon has left the look-up answers and finishes its requests."""
+    """The daemon left the look-up answers and drains its calls in flight."""
 
     instance: str
 
@@ -55,7 +55,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ConfigurationInvalid(Event):
-    """The stored document is not valid; the one in force stays."""
+    """The stored document is invalid; the configuration in force stays."""
 
     generation: int
     problems: str
@@ -65,7 +65,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ConfigurationUnavailable(Event):
-    """The configuration could not be read; the one in force stays."""
+    """The configuration could not be read; the one in force, if any, stays."""
 
     fault: str
     detail: str
@@ -75,7 +75,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LookupAnswered(Event):
-    """A caller was told which instances to use."""
+    """A caller's look-up was answered with a list of instances."""
 
     decision: str
     service: str
@@ -87,7 +87,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class CallAnswered(Event):
-    """A call was answered with the whole answer of an upstream."""
+    """A call was answered with the complete response of an upstream."""
 
     decision: str
     route: str
@@ -113,7 +113,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class FrontEndFailed(Event):
-    """An unexpected exception was answered with an internal error."""
+    """A front end raised an exception and answered with an internal error."""
 
     decision: str
     error: str
--- a/packages/daemon/src/sycamorenotch_daemon/_fleet.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_fleet.py
@@ -1,4 +1,4 @@
-"""What this daemon knows about every instance of the system."""
+"""Read access to the membership of the fleet."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class FleetView(Protocol):
-    """Membership and configuration of the fleet, as heard by this daemon."""
+    """Membership and configuration generations of the fleet, from heartbeats."""
 
     def members(self) -> tuple[FleetMember, ...]:
-        """Return every known instance, this one included, by identifier."""
+        """Return every known instance and this one, sorted by identifier."""
         ...
 
     def in_force(self, generation: int) -> tuple[FleetMember, ...]:
-        """Return the members that are known to serve at least a generation."""
+        """Return the members known to serve at least a generation."""
         ...
 
     def missing(self, generation: int) -> tuple[FleetMember, ...]:
         """Return the members not known to serve at least a generation.
 
-        Members that are gone are not waited for.
+        Members in the state ``GONE`` are not included.
         """
         ...
--- a/packages/daemon/src/sycamorenotch_daemon/_fleet_demand.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_fleet_demand.py
@@ -1,4 +1,4 @@
-"""Demand of the whole fleet, summed over the reports of the instances."""
+"""Demand of the whole fleet, summed over the instances' reports."""
 
 from __future__ import annotations
 
@@ -18,32 +18,38 @@
 
 @final
 class FleetDemand:
-    """The last report of each instance."""
+    """Keeps the last demand report of each instance."""
 
     def __init__(self) -> None:
         self._reports: dict[InstanceId, tuple[DemandReport, ...]] = {}
-        self._at: dict[InstanceId, timedelta] = {}
+        self._reported_at: dict[InstanceId, timedelta] = {}
 
     def report(
         self, instance: InstanceId, demands: tuple[DemandReport, ...], now: timedelta
     ) -> None:
         """Replace the report of an instance."""
         self._reports[instance] = demands
-        self._at[instance] = now
+        self._reported_at[instance] = now
 
     def total(
         self, environment: Environment, listed: Iterable[InstanceId], now: timedelta
     ) -> tuple[Demand, ...]:
-        """Return the demand, or nothing while a listed instance is unheard.
+        """Return the total demand.
 
-        :param listed: instances that the platform's list names.
+        Reports of instances that are no longer listed are discarded.
+
+        :param listed: instances in the platform's list.
+        :return: demand of every served rank and region; empty while a listed
+            instance has not reported, as the sum would be too low.
         """
         present = set(listed)
         self._reports = {n: r for n, r in self._reports.items() if n in present}
-        self._at = {n: at for n, at in self._at.items() if n in present}
+        self._reported_at = {
+            n: at for n, at in self._reported_at.items() if n in present
+        }
         if present - self._reports.keys():
             return ()
-        age = now - min(self._at.values(), default=now)
+        age = now - min(self._reported_at.values(), default=now)
         rates = Counter[tuple[str, str, Rank]]()
         for item in (d for reports in self._reports.values() for d in reports):
             rates[item.service, item.source, item.rank] += item.rate
--- a/packages/daemon/src/sycamorenotch_daemon/_fleet_endpoints.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_fleet_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint that tells on how many instances a generation is in force."""
+"""Endpoint that shows on which instances a generation is in force."""
 
 from __future__ import annotations
 
@@ -20,8 +20,9 @@
 @final
 @dataclass(frozen=True, slots=True)
 class SpreadBody:
-    """Where a generation is in force, as this instance has heard.
+    """Rollout of a generation, as seen by this instance.
 
+    :param in_force: instances known to serve at least this generation.
     :param missing: instances not known to serve it.
     """
 
@@ -32,13 +33,13 @@
 
 @endpoint("GET", "/v1/spread/<generation>")
 async def spread(node: Node, req: OperatorRequest) -> OperatorResult:
-    """Return where a generation is in force."""
+    """Return the instances on which a generation is in force."""
     text = req.arguments["generation"]
     if not text.isdecimal():
-        return Error(Failure(ErrorKind.BAD_REQUEST, "a generation is a number"))
+        return Error(Failure(ErrorKind.BAD_REQUEST, "the generation is not a number"))
     view = node.find(FleetView)  # type: ignore[type-abstract]
     if view is None:
-        detail = "this instance does not hear of the others"
+        detail = "this instance has no view of the fleet"
         return Error(Failure(ErrorKind.NOT_FOUND, detail))
     generation = int(text)
     in_force = tuple(item.instance for item in view.in_force(generation))
--- a/packages/daemon/src/sycamorenotch_daemon/_instances.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_instances.py
@@ -1,4 +1,4 @@
-"""The instances that look-up answers may name."""
+"""Keeps the list of instances current from the platform and from peers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class InstanceView(Protocol):
-    """What this daemon knows about the instances of the system."""
+    """Read access to the known instances of the system."""
 
     def instances(self) -> tuple[ListedInstance, ...]:
         """Return every known instance, this one included."""
@@ -39,10 +39,10 @@
 @components.register("instances")
 @final
 class InstanceList:
-    """Merges the platform's list with what the peers say of themselves.
+    """Merges the platform's list with the state that peers announce.
 
-    Only the watchers of a data centre poll the list; its other daemons get
-    the differences from them.
+    Only the watchers of a data centre poll the list; they push differences to
+    the other daemons of the data centre.
     """
 
     after: ClassVar[tuple[str, ...]] = ("configuration", "drains")
@@ -60,7 +60,7 @@
         node.provide(InstanceView, self)  # type: ignore[type-abstract]
 
     async def start(self) -> None:
-        """Start polling."""
+        """Start to poll the platform's list."""
         self._poll.start(POLL_INTERVAL.total_seconds())
 
     async def stop(self) -> None:
@@ -69,18 +69,21 @@
             self._poll.stop()
 
     def instances(self) -> tuple[ListedInstance, ...]:
-        """Return every known instance that is not thought dead, and this one."""
+        """Return this instance and every other one that is usable or leaving.
+
+        Drained and leaving instances have the state ``LEAVING``.
+        """
         me = self._node.settings.instance
         others = (e for e in self._listing.entries.values() if e.id != me)
         return (
-            self._seen(listed_self(self._node)),
-            *(self._seen(e) for e in others if self._is_shown(e)),
+            self._with_effective_state(listed_self(self._node)),
+            *(self._with_effective_state(e) for e in others if self._is_visible(e)),
         )
 
-    def _is_shown(self, entry: ListedInstance) -> bool:
+    def _is_visible(self, entry: ListedInstance) -> bool:
         return self._fleet.usable(entry.id) or self._fleet.is_leaving(entry.id)
 
-    def _seen(self, entry: ListedInstance) -> ListedInstance:
+    def _with_effective_state(self, entry: ListedInstance) -> ListedInstance:
         drained = self._node.require(Drains).covers_instance(entry)
         if not (drained or self._fleet.is_leaving(entry.id)):
             return entry
@@ -88,16 +91,16 @@
 
     async def _on_poll(self) -> None:
         if self._fleet.is_watcher() or not self._mesh.connected():
-            await self._read()
+            await self._refresh()
 
-    async def _read(self) -> None:
+    async def _refresh(self) -> None:
         found = await self._node.directory.instances(POLL_TIMEOUT)
-        # An empty list cannot be right, as this instance should be in it.
+        # An empty list is invalid, as it should contain at least this instance.
         if found.is_error() or (self._listing.entries and not found.ok):
             return
         push = self._listing.replace(found.ok)
         if push is not None:
-            self._fleet.list_is(self._listing.entries.values())
+            self._fleet.update_instances(self._listing.entries.values())
             self._push_to_members(push)
 
     def _push_to_members(self, push: ListingPush) -> None:
@@ -107,26 +110,26 @@
                 self._mesh.send(peer.instance, push)
 
     def _on_connected(self, peer: PeerIdentity) -> None:
-        # A newcomer should not wait until the list is polled next.
+        # A new instance should be usable before the next poll of the list.
         if self._poll.running and peer.instance not in self._listing.entries:
-            Deferred.fromCoroutine(self._read())
+            Deferred.fromCoroutine(self._refresh())
         if not self._listing.entries:
             self._mesh.send(peer.instance, ListingRequest())
             return
-        near = peer.data_centre == self._node.settings.data_centre
-        if near and self._fleet.is_watcher():
-            self._mesh.send(peer.instance, self._listing.whole())
+        same_data_centre = peer.data_centre == self._node.settings.data_centre
+        if same_data_centre and self._fleet.is_watcher():
+            self._mesh.send(peer.instance, self._listing.make_full_push())
 
     def _on_request(self, peer: PeerIdentity, _: ListingRequest) -> None:
         if self._listing.entries:
-            self._mesh.send(peer.instance, self._listing.whole())
+            self._mesh.send(peer.instance, self._listing.make_full_push())
 
     def _on_push(self, peer: PeerIdentity, message: ListingPush) -> None:
-        # A watcher believes its own reading of the list.
+        # A watcher trusts only the list that it read from the platform itself.
         if self._listing.entries and self._fleet.is_watcher():
             return
-        before = self._listing.digest
+        previous_digest = self._listing.digest
         if not self._listing.apply(message):
             self._mesh.send(peer.instance, ListingRequest())
-        elif self._listing.digest != before:
-            self._fleet.list_is(self._listing.entries.values())
+        elif self._listing.digest != previous_digest:
+            self._fleet.update_instances(self._listing.entries.values())
--- a/packages/daemon/src/sycamorenotch_daemon/_membership.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership.py
@@ -76,7 +76,7 @@
         for peer in self._mesh.connected():
             self._mesh.send(peer.instance, self._heartbeat(answer=False))
 
-    def list_is(self, listed: Iterable[ListedInstance]) -> None:
+    def update_instances(self, listed: Iterable[ListedInstance]) -> None:
         """Apply the platform's list of instances."""
         self._listed = {entry.id: entry for entry in listed}
         self._report_transitions(
--- a/packages/daemon/src/sycamorenotch_daemon/_metrics.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one daemon, and the sink that counts events."""
+"""Metrics of one daemon and the event sinks that feed them."""
 
 from __future__ import annotations
 
@@ -31,45 +31,55 @@
 
 @final
 class Metrics:
-    """Counters, gauges and histograms in a registry of their own.
+    """Counters, gauges and histograms of one daemon.
 
-    Two daemons in one process must not count into the same registry.
+    They have a registry of their own, as several daemons may share a process.
     """
 
     def __init__(self) -> None:
         self._registry = Registry()
-        own = {"registry": self._registry}
+        registry_argument = {"registry": self._registry}
         self.calls = Counter(
-            "sycamorenotch_calls_total", "Calls by service, rank and outcome.", **own
+            "sycamorenotch_calls_total",
+            "Calls by service, rank and outcome.",
+            **registry_argument,
         )
         self.latency = Histogram(
             "sycamorenotch_call_seconds",
             "Time from a call's last byte in to its answer.",
             buckets=LATENCY_BUCKETS_S,
-            **own,
+            **registry_argument,
         )
         self.events = Counter(
-            "sycamorenotch_events_total", "Events by number and name.", **own
+            "sycamorenotch_events_total",
+            "Events by number and name.",
+            **registry_argument,
         )
         self.violations = Counter(
             "sycamorenotch_invariant_violations_total",
             "Violations by invariant.",
-            **own,
+            **registry_argument,
         )
         self.store_calls = Counter(
-            "sycamorenotch_store_calls_total", "Store calls by kind and result.", **own
+            "sycamorenotch_store_calls_total",
+            "Store calls by kind and result.",
+            **registry_argument,
         )
         self.generation = Gauge(
-            "sycamorenotch_generation_in_force", "Configuration generation.", **own
+            "sycamorenotch_generation_in_force",
+            "Configuration generation.",
+            **registry_argument,
         )
         self.in_flight = Gauge(
-            "sycamorenotch_calls_in_flight", "Calls without an answer yet.", **own
+            "sycamorenotch_calls_in_flight",
+            "Calls without an answer yet.",
+            **registry_argument,
         )
 
     def render(self, accept: Sequence[str]) -> tuple[bytes, dict[str, str]]:
-        """Return the metrics page and its headers.
+        """Return the metrics page and its response headers.
 
-        :param accept: values of the Accept header.
+        :param accept: values of the Accept header; the text format if empty.
         """
         return render(self._registry, list(accept) or [TEXT_FORMAT])
 
@@ -88,13 +98,13 @@
 
 @final
 class FanOutSink:
-    """Hands each event to several sinks."""
+    """Forwards each event to several sinks."""
 
     def __init__(self, *sinks: EventSink) -> None:
         self._sinks = sinks
 
     def emit(self, event: Event) -> None:
-        """Hand on one event."""
+        """Forward one event."""
         for sink in self._sinks:
             sink.emit(event)
 
@@ -102,7 +112,7 @@
 @components.register("metrics")
 @final
 class MetricsPage:
-    """Measures every call and gathers what other parts count."""
+    """Measures every call and renders the metrics page."""
 
     after: ClassVar[tuple[str, ...]] = ("calls",)
 
@@ -114,25 +124,25 @@
         node.provide(MetricsPage, self)
 
     async def start(self) -> None:
-        """Do nothing; the callers' front end serves the page."""
+        """Do nothing; the metrics page is served by the callers' front end."""
 
     async def stop(self) -> None:
         """Do nothing; there is nothing to release."""
 
     def render(self, accept: Sequence[str]) -> tuple[bytes, dict[str, str]]:
-        """Return the metrics page and its headers.
+        """Update the gauges and return the metrics page and its response headers.
 
-        :param accept: values of the Accept header.
+        :param accept: values of the Accept header; the text format if empty.
         """
         metrics, node = self._metrics, self._node
         metrics.generation.set({}, node.configuration.generation)
         metrics.in_flight.set({}, self._calls.in_flight)
         for invariant, count in node.invariants.violations.items():
             metrics.violations.set({"invariant": invariant.name}, count)
-        self._gather_store_calls()
+        self._collect_store_calls()
         return metrics.render(accept)
 
-    def _gather_store_calls(self) -> None:
+    def _collect_store_calls(self) -> None:
         calls = self._node.find(StoreCalls)
         if calls is None:
             return
@@ -143,13 +153,13 @@
                 self._metrics.store_calls.set(labels, count)
 
     def _on_call(self, call: Call, result: CallResult, latency: timedelta) -> None:
-        place = {"service": call.route.service, "rank": call.rank.label}
-        self._metrics.calls.inc({**place, "outcome": outcome_of(result)})
-        self._metrics.latency.observe(place, latency.total_seconds())
+        route_labels = {"service": call.route.service, "rank": call.rank.label}
+        self._metrics.calls.inc({**route_labels, "outcome": outcome_of(result)})
+        self._metrics.latency.observe(route_labels, latency.total_seconds())
 
 
 def outcome_of(result: CallResult) -> str:
-    """Return the error kind, or the class of the upstream's status."""
+    """Return the error kind, or the class of the upstream's status, as in 2xx."""
     if result.is_error():
         return str(result.error.kind.value)
     return f"{result.ok.status // 100}xx"
--- a/packages/daemon/src/sycamorenotch_daemon/_node.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_node.py
@@ -32,18 +32,18 @@
 class Component(Protocol):
     """A part of the daemon that is started and stopped.
 
-    Components are started after those that they name in ``after`` and are
-    stopped in the opposite order.
+    A component is started after the components that its ``after`` names.
+    Components are stopped in reverse order.
     """
 
     after: ClassVar[tuple[str, ...]]
 
     async def start(self) -> None:
-        """Start; the component is usable when this returns."""
+        """Start the component; it is usable when this returns."""
         ...
 
     async def stop(self) -> None:
-        """Stop; nothing of the component runs when this returns."""
+        """Stop the component; none of its tasks run when this returns."""
         ...
 
 
@@ -53,9 +53,9 @@
     """The configuration that a daemon serves.
 
     :param generation: the store's version of the document.
-    :param digest: hash of the stored value.
-    :param text: the stored value as text, with the header that goes with the
-        document, so that peers can be given all of it.
+    :param digest: hash of the stored value in hexadecimal.
+    :param text: the whole stored value, including the document's metadata, for
+        pushes to peers.
     """
 
     environment: Environment
@@ -65,7 +65,7 @@
     drains: tuple[Drain, ...] = ()
 
 
-Listener = Callable[[InForce], None]
+Subscriber = Callable[[InForce], None]
 
 
 @final
@@ -76,11 +76,11 @@
         self._sink = sink
         self._invariants = invariants
         self._current: InForce | None = None
-        self._listeners: list[Listener] = []
+        self._subscribers: list[Subscriber] = []
 
     @property
     def current(self) -> InForce | None:
-        """The configuration in force, if there is one."""
+        """The configuration in force, or None before the first one."""
         return self._current
 
     @property
@@ -88,29 +88,29 @@
         """The generation in force, or 0."""
         return 0 if self._current is None else self._current.generation
 
-    def subscribe(self, listener: Listener) -> None:
-        """Call a function now, if possible, and for each newer generation."""
-        self._listeners.append(listener)
+    def subscribe(self, subscriber: Subscriber) -> None:
+        """Call a function with the configuration in force, if any, and newer ones."""
+        self._subscribers.append(subscriber)
         if self._current is not None:
-            listener(self._current)
+            subscriber(self._current)
 
     def put(self, candidate: InForce) -> bool:
-        """Put a newer generation in force.
+        """Put a candidate in force if its generation is newer.
 
-        :return: whether the candidate is in force now.
+        :return: whether the candidate was put in force.
         """
         if not self._supersedes(candidate):
             return False
-        newer = candidate.generation > self.generation
+        is_newer = candidate.generation > self.generation
         detail = f"{self.generation} to {candidate.generation}"
-        if not self._invariants.holds(Invariant.I9, newer, detail):
+        if not self._invariants.holds(Invariant.I9, is_newer, detail):
             return False
         self._current = candidate
         self._sink.emit(
             ConfigurationInForceChanged(candidate.generation, candidate.digest)
         )
-        for listener in self._listeners:
-            listener(candidate)
+        for subscriber in self._subscribers:
+            subscriber(candidate)
         return True
 
     def _supersedes(self, candidate: InForce) -> bool:
@@ -121,11 +121,13 @@
 @final
 @dataclass(slots=True)
 class Node:
-    """Everything that components of one daemon share.
+    """Dependencies, state and service registry that a daemon's components share.
 
-    :param reactor: the one loop of the process.
+    :param reactor: the reactor of the process.
     :param token: bearer token of the operators' listener.
-    :param linger: whether a stop waits until earlier look-up answers have run out.
+    :param peer_key: shared key that authenticates peers; empty to disable peers.
+    :param stopping: whether the daemon is shutting down.
+    :param linger: whether shutdown waits until earlier look-up answers expire.
     """
 
     settings: DaemonSettings
@@ -143,25 +145,25 @@
     linger: bool = True
     ids: IdentifierSource = field(init=False)
     configuration: ConfigurationInForce = field(init=False)
-    _provided: dict[type, object] = field(default_factory=dict)
+    _services: dict[type, object] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.ids = IdentifierSource(self.random)
         self.configuration = ConfigurationInForce(self.sink, self.invariants)
 
-    def provide(self, kind: type[T], value: T) -> None:
-        """Offer a component's service to other components."""
-        self._provided[kind] = value
+    def provide(self, service_type: type[T], value: T) -> None:
+        """Register a component's service for other components."""
+        self._services[service_type] = value
 
-    def require(self, kind: type[T]) -> T:
-        """Return the service of a component that has been built.
+    def require(self, service_type: type[T]) -> T:
+        """Return a registered service.
 
-        :raises LookupError: if no component provides it.
+        :raises LookupError: if no component built so far provides it.
         """
-        if kind not in self._provided:
-            raise LookupError(f"no component provides {kind.__name__}")
-        return cast(T, self._provided[kind])
+        if service_type not in self._services:
+            raise LookupError(f"no component provides {service_type.__name__}")
+        return cast(T, self._services[service_type])
 
-    def find(self, kind: type[T]) -> T | None:
-        """Return the service of a component, if one provides it."""
-        return cast("T | None", self._provided.get(kind))
+    def find(self, service_type: type[T]) -> T | None:
+        """Return a registered service, or None if no component provides it."""
+        return cast("T | None", self._services.get(service_type))
--- a/packages/daemon/src/sycamorenotch_daemon/_operator_endpoints.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_operator_endpoints.py
@@ -1,4 +1,4 @@
-"""Registration of the operators' endpoints, free of any encoding."""
+"""Registration of the operators' endpoints, independent of HTTP and JSON."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 class OperatorRequest:
     """A request of an operator.
 
-    :param arguments: the variable parts of the path, by name.
-    :param author: who sends the request, for the history.
-    :param expected: generation that the operator saw, if stated.
+    :param arguments: values of the path's variables, by name.
+    :param author: name of the operator, for the history.
+    :param expected: generation that a change is based on, if stated.
     :param source: environment and generation that a promotion copies.
     """
 
@@ -41,7 +41,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class OperatorEndpoint:
-    """A registered endpoint; its result is a data class."""
+    """A registered endpoint.
+
+    :param run: handles a request and returns a data class or a failure.
+    """
 
     method: str
     path: str
--- a/packages/daemon/src/sycamorenotch_daemon/_operators.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_operators.py
@@ -1,4 +1,4 @@
-"""The operators' front end."""
+"""HTTP front end of the operators' endpoints."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 from sycamorenotch_kernel import operator_endpoints
 from sycamorenotch_transport import HttpListener
 
-OPERATORS_DRAIN = timedelta(seconds=5)
-MAXIMUM_DOCUMENT_BYTES = 2**19
+DRAIN_TIMEOUT = timedelta(seconds=5)
+MAX_DOCUMENT_BYTES = 2**19
 
 
 @components.register("operators")
 @front_ends.register("operators")
 @final
 class OperatorsFrontEnd:
-    """Serves the registered endpoints over HTTP with a bearer token."""
+    """Serves the registered endpoints over HTTP, authenticated by a bearer token."""
 
     after: ClassVar[tuple[str, ...]] = ("instances", "drains")
 
@@ -51,8 +51,8 @@
         await self._listener.start(self._app().resource())
 
     async def stop(self) -> None:
-        """Close the listener."""
-        await self._listener.stop(OPERATORS_DRAIN)
+        """Close the listener, with a bounded wait for requests in flight."""
+        await self._listener.stop(DRAIN_TIMEOUT)
 
     def _app(self) -> Klein:
         app = Klein()
@@ -72,11 +72,11 @@
         self, item: OperatorEndpoint, req: Request, arguments: dict[str, str]
     ) -> bytes:
         decision = self._node.ids.decision()
-        failure = self._refusal(req)
+        failure = self._check_request(req)
         if failure is not None:
             return write_problem(req, failure, decision)
         try:
-            result = await item.run(self._node, _request(req, arguments))
+            result = await item.run(self._node, _to_operator_request(req, arguments))
         except Exception as exc:
             self._node.sink.emit(FrontEndFailed(decision, type(exc).__name__))
             failure = Failure(ErrorKind.INTERNAL, "see the log of the instance")
@@ -86,25 +86,25 @@
         req.setHeader("Content-Type", "application/json")
         return encode_body(result.ok)
 
-    def _refusal(self, req: Request) -> Failure | None:
-        given = req.getHeader("Authorization") or ""
-        # An empty token in the settings must not open the interface.
+    def _check_request(self, req: Request) -> Failure | None:
+        received = req.getHeader("Authorization") or ""
+        # An empty token in the settings must not disable authentication.
         if not self._node.token or not hmac.compare_digest(
-            given.encode("latin-1", "replace"), self._authorization
+            received.encode("latin-1", "replace"), self._authorization
         ):
-            return Failure(ErrorKind.UNAUTHORIZED, "the token is not accepted")
-        if int(req.getHeader("Content-Length") or 0) > MAXIMUM_DOCUMENT_BYTES:
-            detail = f"a document has at most {MAXIMUM_DOCUMENT_BYTES} bytes"
+            return Failure(ErrorKind.UNAUTHORIZED, "missing or invalid bearer token")
+        if int(req.getHeader("Content-Length") or 0) > MAX_DOCUMENT_BYTES:
+            detail = f"the body exceeds {MAX_DOCUMENT_BYTES} bytes"
             return Failure(ErrorKind.BODY_TOO_LARGE, detail)
         return None
 
 
 def encode_body(body: object) -> bytes:
-    """Return the JSON form of a data class."""
-    return json.dumps(dataclasses.asdict(body), default=_plain).encode()  # type: ignore[call-overload]
+    """Encode a data class as JSON."""
+    return json.dumps(dataclasses.asdict(body), default=_to_plain).encode()  # type: ignore[call-overload]
 
 
-def _request(req: Request, arguments: dict[str, str]) -> OperatorRequest:
+def _to_operator_request(req: Request, arguments: dict[str, str]) -> OperatorRequest:
     expected = req.getHeader("If-Match")
     return OperatorRequest(
         arguments=arguments,
@@ -115,7 +115,7 @@
     )
 
 
-def _plain(value: object) -> str:
+def _to_plain(value: object) -> str:
     if hasattr(value, "isoformat"):
         return str(value.isoformat())
     return str(getattr(value, "value", value))
--- a/packages/daemon/src/sycamorenotch_daemon/_status_endpoints.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_status_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that show the state and the record of one instance."""
+"""Endpoints that return the state and the decisions of one instance."""
 
 from __future__ import annotations
 
@@ -26,7 +26,8 @@
 class StatusBody:
     """The state of one instance.
 
-    :param instances: the instances that it knows, itself included.
+    :param digest: hash of the configuration in force, or an empty string.
+    :param instances: the known instances, this one included.
     :param violations: number of violations of each invariant since the start.
     """
 
@@ -68,6 +69,6 @@
     """Return the record of a decision."""
     record = node.decisions.find(DecisionId(req.arguments["decision"]))
     if record is None:
-        detail = "the decision is not kept on this instance"
+        detail = "this instance has no record of the decision"
         return Error(Failure(ErrorKind.NOT_FOUND, detail))
     return Ok(record)
--- a/packages/daemon/src/sycamorenotch_daemon/main.py
+++ b/packages/daemon/src/sycamorenotch_daemon/main.py
@@ -18,14 +18,14 @@
 from sycamorenotch_documents import InvalidFileError
 from sycamorenotch_documents import parse_settings
 
-EXIT_SETTINGS = 2
-EXIT_START = 3
+EXIT_INVALID_SETTINGS = 2
+EXIT_START_FAILED = 3
 
 SETTINGS = flags.DEFINE_string("settings", None, "Path of the daemon's settings file.")
 
 
 def main() -> None:
-    """Run the daemon until it is told to stop."""
+    """Run the daemon until the process is asked to terminate."""
     flags.mark_flag_as_required("settings")
     app.run(_run)
 
@@ -36,12 +36,12 @@
         daemon = build_daemon(settings, reactor)
     except (InvalidFileError, OSError) as exc:
         print(exc, file=sys.stderr)
-        return EXIT_SETTINGS
-    _log_to(settings)
+        return EXIT_INVALID_SETTINGS
+    _configure_log(settings)
     return _serve(daemon)
 
 
-def _log_to(settings: DaemonSettings) -> None:
+def _configure_log(settings: DaemonSettings) -> None:
     if settings.log_file:
         to_file(open(settings.log_file, "a"))
     else:
@@ -51,20 +51,20 @@
 def _serve(daemon: Daemon) -> int:
     status = 0
 
-    def failed(failure: Failure) -> None:
+    def on_start_failed(failure: Failure) -> None:
         nonlocal status
-        status = EXIT_START
+        status = EXIT_START_FAILED
         print(failure.getErrorMessage(), file=sys.stderr)
         reactor.stop()
 
     def start() -> None:
-        Deferred.fromCoroutine(daemon.start()).addErrback(failed)
+        Deferred.fromCoroutine(daemon.start()).addErrback(on_start_failed)
 
     def stop() -> Deferred[None]:
         return Deferred.fromCoroutine(daemon.stop())
 
     reactor.callWhenRunning(start)
-    # The reactor installs a handler that turns SIGTERM into this trigger.
+    # The reactor's SIGTERM handler fires this trigger.
     reactor.addSystemEventTrigger("before", "shutdown", stop)
     reactor.run()
     return status
--- a/packages/daemon/src/sycamorenotch_daemon/plugins.py
+++ b/packages/daemon/src/sycamorenotch_daemon/plugins.py
@@ -1,4 +1,4 @@
-"""Imports the modules that register parts of the daemon."""
+"""Plug-in entry point; importing it registers the parts of the daemon."""
 
 from __future__ import annotations
 
