--- a/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
@@ -66,7 +66,8 @@
         self._demands = FleetDemand()
         self._workers = FleetWorkers()
         self._reported: frozenset[Event] = frozenset()
-        # False after a write whose outcome is unknown.
+        # Whether the store is known to contain the plan in force here; false
+        # while the outcome of a write is unknown.
         self._store_synced = False
         node.provide(PlanHolder, self)
 
--- a/testing/daemon/plan/conftest.py
+++ b/testing/daemon/plan/conftest.py
@@ -1,4 +1,4 @@
-"""Instances with the plan's components under a virtual clock."""
+"""Fixtures: instances with the plan's components under a virtual clock."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class FixedInstances:
-    """A list of instances that never changes."""
+    """Instance view with a constant list."""
 
     def instances(self) -> tuple[ListedInstance, ...]:
         return tuple(
@@ -63,7 +63,7 @@
 
 
 class Instance:
-    """The plan's components of one instance, on a clock that can stop."""
+    """The plan's components of one instance, on a virtual clock of its own."""
 
     def __init__(self, name: str, table: ObjectTable) -> None:
         self.clock = Clock()
@@ -92,13 +92,13 @@
 
     def start(self) -> None:
         self.configure(1)
-        for part in (self.lease, self.watch, self.holder):
-            Deferred.fromCoroutine(part.start())
+        for component in (self.lease, self.watch, self.holder):
+            Deferred.fromCoroutine(component.start())
 
     def stop(self) -> None:
         self.node.stopping = True
-        for part in (self.holder, self.watch, self.lease):
-            Deferred.fromCoroutine(part.stop())
+        for component in (self.holder, self.watch, self.lease):
+            Deferred.fromCoroutine(component.stop())
 
     def configure(self, generation: int) -> None:
         in_force = InForce(ENVIRONMENT, generation, "", DOCUMENT)
@@ -109,7 +109,7 @@
 
 
 class Fleet:
-    """Three instances over one table."""
+    """Three instances that share one object table."""
 
     def __init__(self) -> None:
         self.table = ObjectTable()
@@ -118,7 +118,10 @@
             instance.start()
 
     def pass_time(self, seconds: float, paused: Any = None) -> None:
-        """Let time pass for every instance but a paused one."""
+        """Advance every clock except that of a paused instance.
+
+        Asserts that at most one running instance holds the lease at any time.
+        """
         for _ in range(round(seconds / STEP_S)):
             for instance in self.instances:
                 if instance is not paused:
--- a/testing/daemon/plan/test_plan_asker.py
+++ b/testing/daemon/plan/test_plan_asker.py
@@ -1,4 +1,4 @@
-"""Tests of grants that are confirmed by the holder and of reported demand."""
+"""Tests of grant renewal by the lease holder and of demand reports."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class DirectMesh:
-    """Hands messages to the other instances at once, unless they are cut off."""
+    """Delivers messages synchronously, unless an instance is partitioned."""
 
     def __init__(self, instance: Any, meshes: dict[str, DirectMesh]) -> None:
         self.name = instance.node.settings.instance
-        self.cut_off = False
+        self.partitioned = False
         self.handlers: dict[type[Message], Any] = {}
         self.meshes = meshes
         meshes[self.name] = self
@@ -38,7 +38,7 @@
 
     def send(self, instance: str, message: Message) -> bool:
         other = self.meshes[instance]
-        if self.cut_off or other.cut_off:
+        if self.partitioned or other.partitioned:
             return False
         other.handlers[type(message)](SimpleNamespace(instance=self.name), message)
         return True
@@ -73,17 +73,17 @@
     assert sum(granted) <= usable
 
 
-def test_loan_lapses_when_an_instance_is_cut_off(
+def test_loan_expires_when_an_instance_is_partitioned(
     fleet: Any, meshes: dict[str, DirectMesh]
 ) -> None:
-    cut = fleet.followers()[0]
-    before = slots(cut)
-    meshes[cut.node.settings.instance].cut_off = True
+    isolated = fleet.followers()[0]
+    slots_before = slots(isolated)
+    meshes[isolated.node.settings.instance].partitioned = True
     fleet.pass_time(7)
-    assert 0 < slots(cut) < before
-    meshes[cut.node.settings.instance].cut_off = False
+    assert 0 < slots(isolated) < slots_before
+    meshes[isolated.node.settings.instance].partitioned = False
     fleet.pass_time(10)
-    assert slots(cut) >= before - 1
+    assert slots(isolated) >= slots_before - 1
 
 
 def test_grants_are_confirmed_again_when_the_holder_changes(
@@ -91,7 +91,7 @@
 ) -> None:
     holder = fleet.holder()
     holder.stop()
-    meshes[holder.node.settings.instance].cut_off = True
+    meshes[holder.node.settings.instance].partitioned = True
     fleet.pass_time(30, paused=holder)
     assert all(slots(i) for i in fleet.instances if i is not holder)
 
--- a/testing/daemon/plan/test_plan_holder.py
+++ b/testing/daemon/plan/test_plan_holder.py
@@ -1,4 +1,4 @@
-"""Tests of the plan's holder over pauses, outages and changes of holder."""
+"""Tests of the plan holder during pauses, store outages and lease transfers."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     fleet.pass_time(20, paused=paused)
     assert stored_plan(fleet).term == 2
     taken = fleet.table.get(PLAN_KIND, "production").ok
-    # Its clock has not moved, as if it had been stopped between two steps.
+    # Its clock has not advanced, as if the process had been suspended.
     paused.configure(2)
     paused.clock.advance(0)
     assert fleet.table.get(PLAN_KIND, "production").ok == taken
@@ -56,7 +56,7 @@
     assert before.plan.sequence < stored_plan(fleet).plan.sequence
 
 
-def test_ledger_of_shifts_survives_when_the_holder_changes(fleet: Any) -> None:
+def test_recorded_shifts_are_kept_when_the_holder_changes(fleet: Any) -> None:
     fleet.pass_time(15)
     holder = fleet.holder()
     stored = fleet.table.get(PLAN_KIND, "production").ok
@@ -88,7 +88,7 @@
     assert stored_plan(fleet).term == 2
 
 
-def test_last_plan_holds_and_nothing_spins_when_the_store_is_down_for_hours(
+def test_last_plan_stays_without_busy_retries_when_the_store_is_down_for_hours(
     fleet: Any,
 ) -> None:
     fleet.pass_time(15)
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("mode", ["lose_answers", "down"])
-def test_plans_form_one_line_when_store_answers_fail_now_and_then(
+def test_plan_sequence_never_decreases_when_store_answers_fail_repeatedly(
     fleet: Any, mode: str
 ) -> None:
     sequences = [0]
@@ -181,7 +181,7 @@
     assert fleet.table.get(PLAN_KIND, "production").ok == before
 
 
-def test_lasting_condition_is_reported_once_when_plans_are_made_again(
+def test_persistent_condition_is_reported_once_when_plans_are_made_again(
     fleet: Any,
 ) -> None:
     fleet.pass_time(60)
--- a/testing/daemon/plan/test_plan_routing.py
+++ b/testing/daemon/plan/test_plan_routing.py
@@ -1,4 +1,4 @@
-"""Tests of how calls follow the plan."""
+"""Tests of applying the plan's grants and routes to calls."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Recorder:
-    """Stands for admission, upstreams and the table of a choice."""
+    """Fake admission, upstreams and worker choice that record what is set."""
 
     def __init__(self) -> None:
         self.grants: dict[str, int] = {}
@@ -66,7 +66,7 @@
 
 
 @pytest.fixture
-def holding() -> HeldGrants:
+def held_grants() -> HeldGrants:
     return HeldGrants(ME)
 
 
@@ -76,16 +76,16 @@
 
 
 @pytest.fixture
-def routing(recorder: Recorder, holding: HeldGrants, clock: ManualClock) -> Any:
+def routing(recorder: Recorder, held_grants: HeldGrants, clock: ManualClock) -> Any:
     route = PlanRoute("balance", "viti-west", Rank.STANDARD, SHARES)
     grants = (grant("viti-west", 4, 2), grant("vanua", 1, 1))
     made_at = datetime(2026, 1, 1, tzinfo=UTC)
     plan = Plan(1, 3, made_at, ME, (route,), grants)
-    holding.accept(plan)
+    held_grants.accept(plan)
     services = {
         Admission: recorder,
         Upstreams: recorder,
-        HeldGrants: holding,
+        HeldGrants: held_grants,
         PlanView: SimpleNamespace(plan=lambda: plan),
     }
     node = SimpleNamespace(
@@ -99,19 +99,19 @@
 
 
 def test_calls_follow_grants_and_routes_when_plan_is_confirmed(
-    routing: Any, recorder: Recorder, holding: HeldGrants, clock: ManualClock
+    routing: Any, recorder: Recorder, held_grants: HeldGrants, clock: ManualClock
 ) -> None:
-    holding.confirm(3, clock.monotonic())
+    held_grants.confirm(3, clock.monotonic())
     routing._apply_plan()
     assert recorder.grants == {"balance": 8}
     assert recorder.regions == {"balance": {"viti-west": 0.8, "vanua": 0.2}}
     assert recorder.quotas == {"viti-west": 6, "vanua": 2}
 
 
-def test_only_floors_are_used_when_loans_lapsed(
-    routing: Any, recorder: Recorder, holding: HeldGrants, clock: ManualClock
+def test_only_floors_are_used_when_loans_expired(
+    routing: Any, recorder: Recorder, held_grants: HeldGrants, clock: ManualClock
 ) -> None:
-    holding.confirm(3, clock.monotonic())
+    held_grants.confirm(3, clock.monotonic())
     clock.advance(LOAN_LIFETIME)
     routing._apply_plan()
     assert recorder.grants == {"balance": 5}
--- a/testing/daemon/test_control_fleet.py
+++ b/testing/daemon/test_control_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of daemons that act as one, over loopback streams."""
+"""Tests of configuration and membership in a fleet of daemons over loopback."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
     return daemon.node.require(FleetMembership).is_watcher()
 
 
-def linked(fleet: ControlFleet) -> bool:
-    """Return whether each daemon has a stream to each watcher it should have."""
+def watcher_streams_open(fleet: ControlFleet) -> bool:
+    """Return whether each daemon has a stream to each of its watchers."""
     return all(
         {InstanceId(name), *daemon.node.require(PeerMesh)._streams}
         >= set(daemon.node.require(FleetMembership).watchers())
@@ -60,7 +60,7 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(fleet: ControlFleet) -> None:
-        await fleet.until(lambda: linked(fleet))
+        await fleet.until(lambda: watcher_streams_open(fleet))
         watching = [d for d in fleet.daemons.values() if is_watcher(d)]
         assert len(watching) == 12
         for number in range(5):
@@ -93,7 +93,7 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(fleet: ControlFleet) -> None:
-        await fleet.until(lambda: linked(fleet))
+        await fleet.until(lambda: watcher_streams_open(fleet))
         for daemon in fleet.daemons.values():
             (watch,) = (c for c in daemon.components if type(c) is ConfigurationWatch)
             watch._push_to_members = lambda _: None  # type: ignore[method-assign]
@@ -103,32 +103,32 @@
     run_fleet(run_in_reactor, 18, scenario)
 
 
-def test_change_is_in_force_and_view_complete_when_watchers_die(
+def test_change_is_in_force_and_crashes_are_detected_when_watchers_crash(
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(fleet: ControlFleet) -> None:
-        await fleet.until(lambda: linked(fleet))
-        victims = [name for name, d in fleet.daemons.items() if is_watcher(d)][:2]
-        for name in victims:
-            dead = fleet.daemons.pop(name)
-            # It dies without the announcement of an orderly stop.
-            dead.node.require(FleetMembership)._heartbeat = lambda **_: HEARTBEAT  # type: ignore[method-assign]
-            await dead.stop()
+        await fleet.until(lambda: watcher_streams_open(fleet))
+        crashed_names = [name for name, d in fleet.daemons.items() if is_watcher(d)][:2]
+        for name in crashed_names:
+            crashed = fleet.daemons.pop(name)
+            # Suppresses the announcement of a graceful shutdown, as in a crash.
+            crashed.node.require(FleetMembership)._heartbeat = lambda **_: HEARTBEAT  # type: ignore[method-assign]
+            await crashed.stop()
         generation = fleet.write(1)
         await fleet.until(lambda: fleet.in_force(generation))
         watcher = next(iter(fleet.daemons.values()))
         view = watcher.node.require(FleetView)  # type: ignore[type-abstract]
 
-        def found_dead() -> bool:
-            dead = (MemberState.SUSPECT, MemberState.GONE)
-            found = {m.instance for m in view.members() if m.state in dead}
+        def crashes_are_detected() -> bool:
+            failed_states = (MemberState.SUSPECT, MemberState.GONE)
+            found = {m.instance for m in view.members() if m.state in failed_states}
             missing = {m.instance for m in view.missing(generation)}
-            return found == set(victims) and missing <= found
+            return found == set(crashed_names) and missing <= found
 
-        await fleet.until(found_dead)
+        await fleet.until(crashes_are_detected)
         assert len(view.in_force(generation)) == len(fleet.daemons)
-        shown = watcher.node.require(InstanceView)  # type: ignore[type-abstract]
-        assert {i.id for i in shown.instances()} == fleet.ids()
+        instance_view = watcher.node.require(InstanceView)  # type: ignore[type-abstract]
+        assert {i.id for i in instance_view.instances()} == fleet.ids()
 
     run_fleet(run_in_reactor, 12, scenario)
 
@@ -138,7 +138,9 @@
 ) -> None:
     async def scenario(fleet: ControlFleet) -> None:
         generation = fleet.write(1)
-        await fleet.until(lambda: linked(fleet) and fleet.in_force(generation))
+        await fleet.until(
+            lambda: watcher_streams_open(fleet) and fleet.in_force(generation)
+        )
         slot = fleet.slots[3]
         await fleet.daemons[slot[0]].stop()
         for daemon in fleet.daemons.values():
@@ -179,10 +181,10 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(fleet: ControlFleet) -> None:
-        await fleet.until(lambda: linked(fleet))
+        await fleet.until(lambda: watcher_streams_open(fleet))
         name = fleet.slots[0][0]
-        leaver = fleet.daemons.pop(name)
-        leaver.node.stopping = True
+        leaving = fleet.daemons.pop(name)
+        leaving.node.stopping = True
         views = [
             d.node.require(FleetView)  # type: ignore[type-abstract]
             for d in fleet.daemons.values()
@@ -197,6 +199,6 @@
             )
 
         await fleet.until(all_know)
-        await leaver.stop()
+        await leaving.stop()
 
     run_fleet(run_in_reactor, 8, scenario)
--- a/testing/daemon/test_document_store.py
+++ b/testing/daemon/test_document_store.py
@@ -1,4 +1,4 @@
-"""Tests of the conditional writes of an environment's object."""
+"""Tests of conditional writes of environment documents."""
 
 from __future__ import annotations
 
@@ -57,12 +57,14 @@
 
 
 @pytest.mark.parametrize("value", [b"{", b'{"format": "other"}', b"\xff"])
-def test_decode_fails_clearly_when_value_is_malformed(value: bytes) -> None:
+def test_decode_raises_invalid_envelope_error_when_value_is_malformed(
+    value: bytes,
+) -> None:
     with pytest.raises(InvalidEnvelopeError):
         decode_document(value)
 
 
-def test_loser_is_told_who_won_when_two_operators_race(
+def test_conflict_names_the_winner_when_two_operators_race(
     documents: DocumentStore, run_in_reactor: Run
 ) -> None:
     async def scenario() -> None:
--- a/testing/daemon/test_metrics.py
+++ b/testing/daemon/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics page and of what is written to logs."""
+"""Tests of the metrics page and of the absence of secrets in logs."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
             await treq.content(await treq.get(f"{callers}/v1/call/balance/balances/1"))
         response = await treq.get(f"{callers}/metrics")
         page = await treq.text_content(response)
-        place = 'rank="standard",service="balance"'
-        labels = f'outcome="2xx",{place}'
+        route_labels = 'rank="standard",service="balance"'
+        labels = f'outcome="2xx",{route_labels}'
         assert response.headers.getRawHeaders("Content-Type")[0].startswith("text/")
         assert f"sycamorenotch_calls_total{{{labels}}} 3" in page
-        assert f"sycamorenotch_call_seconds_count{{{place}}} 3" in page
+        assert f"sycamorenotch_call_seconds_count{{{route_labels}}} 3" in page
         assert 'sycamorenotch_events_total{event="call.answered",number="2301"}' in page
         assert "sycamorenotch_generation_in_force 1" in page
         assert 'sycamorenotch_store_calls_total{kind="get",result="made"}' in page
--- a/testing/daemon/test_peer_streams.py
+++ b/testing/daemon/test_peer_streams.py
@@ -1,4 +1,4 @@
-"""Tests of the streams between daemons over loopback."""
+"""Tests of streams between daemons over loopback."""
 
 from __future__ import annotations
 
@@ -80,11 +80,11 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(first: ControlDaemon, second: ControlDaemon) -> None:
-        heard: list[tuple[str, Heartbeat]] = []
-        mesh(second).handle(Heartbeat, lambda p, m: heard.append((p.instance, m)))
+        received: list[tuple[str, Heartbeat]] = []
+        mesh(second).handle(Heartbeat, lambda p, m: received.append((p.instance, m)))
         await until(lambda: mesh(first).send(InstanceId("b"), HEARTBEAT))
-        await until(lambda: bool(heard))
-        assert heard == [("a", HEARTBEAT)]
+        await until(lambda: bool(received))
+        assert received == [("a", HEARTBEAT)]
 
     run_pair(run_in_reactor, scenario)
 
@@ -108,15 +108,15 @@
         b"\x00\x00\x00\x03" + msgpack.packb([1, 2]),
     ],
 )
-def test_daemon_goes_on_when_a_stranger_breaks_the_protocol(
+def test_daemon_keeps_serving_when_an_unauthenticated_client_violates_the_protocol(
     run_in_reactor: Callable[..., Any], attack: bytes
 ) -> None:
     async def scenario(first: ControlDaemon, second: ControlDaemon) -> None:
         await until(lambda: mesh(second).is_connected(InstanceId("a")))
         host, port = second.node.settings.peers.split(":")
         endpoint = TCP4ClientEndpoint(reactor, host, int(port))
-        stranger = await connectProtocol(endpoint, Protocol())
-        stranger.transport.write(attack)
+        attacker = await connectProtocol(endpoint, Protocol())
+        attacker.transport.write(attack)
         await until(lambda: 4102 in numbers(second))
         assert mesh(first).send(InstanceId("b"), HEARTBEAT)
 
@@ -127,14 +127,14 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(first: ControlDaemon, second: ControlDaemon) -> None:
-        heard: list[Heartbeat] = []
-        mesh(second).handle(Heartbeat, lambda _, message: heard.append(message))
+        received: list[Heartbeat] = []
+        mesh(second).handle(Heartbeat, lambda _, message: received.append(message))
         await until(lambda: mesh(first).is_connected(InstanceId("b")))
         stream = mesh(first)._streams[InstanceId("b")][0]
         stream.sendString(msgpack.packb([1, ["malformed"]]))
         stream.sendString(msgpack.packb([60000, ["of a later version"]]))
         stream.send(HEARTBEAT)
-        await until(lambda: bool(heard))
+        await until(lambda: bool(received))
         assert numbers(second).count(4104) == 1
 
     run_pair(run_in_reactor, scenario)
@@ -151,11 +151,11 @@
         await until(lambda: not mesh(first).is_connected(InstanceId("b")))
         assert 4102 in numbers(second)
 
-        def again() -> bool:
+        def reconnected() -> bool:
             mesh(first).set_targets(targets)
             return mesh(first).is_connected(InstanceId("b"))
 
-        await until(again)
+        await until(reconnected)
 
     run_pair(run_in_reactor, scenario)
 
--- a/testing/daemon/test_store_adapters.py
+++ b/testing/daemon/test_store_adapters.py
@@ -1,4 +1,4 @@
-"""One suite for every store adapter, each behind the guard."""
+"""Contract tests that every store adapter must pass behind the guard."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class Rig:
+class StoreSetup:
     store: StoreGuard
     table: ObjectTable
     fault: FaultSwitch
@@ -42,20 +42,20 @@
 
 
 @pytest.fixture(params=["memory", "http"])
-def rig(
+def setup(
     request: pytest.FixtureRequest, run_in_reactor: Callable[..., Any]
-) -> Iterator[Rig]:
+) -> Iterator[StoreSetup]:
     table = ObjectTable()
     if request.param == "memory":
         memory = MemoryStore(table, reactor)
-        yield Rig(guard(memory), table, memory.fault)
+        yield StoreSetup(guard(memory), table, memory.fault)
         return
     api = StoreApi(table, reactor)
     endpoint = TCP4ServerEndpoint(reactor, 0, interface="127.0.0.1")
     listening = endpoint.listen(Site(api.app.resource()))
     port = run_in_reactor(_wait(listening))
     adapter = HttpStore(f"http://127.0.0.1:{port.getHost().port}", reactor)
-    yield Rig(guard(adapter), table, api.fault)
+    yield StoreSetup(guard(adapter), table, api.fault)
     run_in_reactor(adapter.close())
     run_in_reactor(_wait(port.stopListening()))
 
@@ -65,85 +65,85 @@
 
 
 def test_object_is_read_back_when_created(
-    rig: Rig, run_in_reactor: Callable[..., Any]
+    setup: StoreSetup, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
-        created = await rig.store.create("plans", "p", b"\x00one", SOON)
-        assert (await rig.store.get("plans", "p", SOON)).ok == created.ok
-        assert (await rig.store.list("plans", SOON)).ok == (created.ok,)
+        created = await setup.store.create("plans", "p", b"\x00one", SOON)
+        assert (await setup.store.get("plans", "p", SOON)).ok == created.ok
+        assert (await setup.store.list("plans", SOON)).ok == (created.ok,)
 
     run_in_reactor(scenario())
 
 
-def test_update_gives_winner_when_version_is_old(
-    rig: Rig, run_in_reactor: Callable[..., Any]
+def test_update_returns_the_current_object_when_version_is_stale(
+    setup: StoreSetup, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
-        first = (await rig.store.create("plans", "p", b"1", SOON)).ok
-        second = (await rig.store.update("plans", "p", b"2", first.version, SOON)).ok
-        lost = await rig.store.update("plans", "p", b"3", first.version, SOON)
+        first = (await setup.store.create("plans", "p", b"1", SOON)).ok
+        second = (await setup.store.update("plans", "p", b"2", first.version, SOON)).ok
+        lost = await setup.store.update("plans", "p", b"3", first.version, SOON)
         assert lost.error.fault is StoreFault.CONFLICT
         assert lost.error.current == second
-        again = await rig.store.create("plans", "p", b"4", SOON)
+        again = await setup.store.create("plans", "p", b"4", SOON)
         assert again.error.fault is StoreFault.CONFLICT
 
     run_in_reactor(scenario())
 
 
 def test_write_is_unknown_but_took_effect_when_answer_is_lost(
-    rig: Rig, run_in_reactor: Callable[..., Any]
+    setup: StoreSetup, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
-        rig.fault.set("lose_answers", 0, 1)
-        lost = await rig.store.create("plans", "p", b"1", SOON)
+        setup.fault.set("lose_answers", 0, 1)
+        lost = await setup.store.create("plans", "p", b"1", SOON)
         assert lost.error.fault is StoreFault.UNKNOWN
-        assert (await rig.store.get("plans", "p", SOON)).ok.value == b"1"
+        assert (await setup.store.get("plans", "p", SOON)).ok.value == b"1"
 
     run_in_reactor(scenario())
 
 
 def test_read_is_retried_when_store_is_down_for_one_call(
-    rig: Rig, run_in_reactor: Callable[..., Any]
+    setup: StoreSetup, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
-        rig.table.create("plans", "p", b"1")
-        rig.fault.set("down", 0, 1)
-        assert (await rig.store.get("plans", "p", SOON)).ok.value == b"1"
-        assert rig.store.calls.made["get"] == 2
-        assert rig.store.calls.failed["get"] == 1
+        setup.table.create("plans", "p", b"1")
+        setup.fault.set("down", 0, 1)
+        assert (await setup.store.get("plans", "p", SOON)).ok.value == b"1"
+        assert setup.store.calls.made["get"] == 2
+        assert setup.store.calls.failed["get"] == 1
 
     run_in_reactor(scenario())
 
 
 def test_write_is_not_made_when_store_is_down(
-    rig: Rig, run_in_reactor: Callable[..., Any]
+    setup: StoreSetup, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
-        rig.fault.set("down", 0, None)
-        refused = await rig.store.create("plans", "p", b"1", SOON)
+        setup.fault.set("down", 0, None)
+        refused = await setup.store.create("plans", "p", b"1", SOON)
         assert refused.error.fault is StoreFault.UNAVAILABLE
-        assert rig.table.list("plans") == ()
+        assert setup.table.list("plans") == ()
 
     run_in_reactor(scenario())
 
 
 def test_write_is_unknown_when_store_is_slow(
-    rig: Rig, run_in_reactor: Callable[..., Any]
+    setup: StoreSetup, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
-        rig.fault.set("slow", 0.5, 1)
-        late = await rig.store.create("plans", "p", b"1", SHORT)
+        setup.fault.set("slow", 0.5, 1)
+        late = await setup.store.create("plans", "p", b"1", SHORT)
         assert late.error.fault is StoreFault.UNKNOWN
 
     run_in_reactor(scenario())
 
 
 def test_watch_returns_change_when_object_is_written(
-    rig: Rig, run_in_reactor: Callable[..., Any]
+    setup: StoreSetup, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
-        watched = Deferred.fromCoroutine(rig.store.watch("plans", Version(0), SOON))
-        written = await rig.store.create("plans", "p", b"1", SOON)
+        watched = Deferred.fromCoroutine(setup.store.watch("plans", Version(0), SOON))
+        written = await setup.store.create("plans", "p", b"1", SOON)
         changes = (await watched).ok
         assert changes.objects == (written.ok,)
         assert changes.version == written.ok.version
@@ -151,10 +151,10 @@
     run_in_reactor(scenario())
 
 
-def test_watch_returns_nothing_when_time_is_over(
-    rig: Rig, run_in_reactor: Callable[..., Any]
+def test_watch_returns_no_objects_when_it_times_out(
+    setup: StoreSetup, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
-        assert (await rig.store.watch("plans", Version(0), SHORT)).ok.objects == ()
+        assert (await setup.store.watch("plans", Version(0), SHORT)).ok.objects == ()
 
     run_in_reactor(scenario())
--- a/testing/daemon/test_store_guard.py
+++ b/testing/daemon/test_store_guard.py
@@ -19,7 +19,7 @@
 TIMEOUT = timedelta(seconds=1)
 
 
-def build(rate: float) -> tuple[StoreGuard, MemoryStore, Clock, EventList]:
+def build_guard(rate: float) -> tuple[StoreGuard, MemoryStore, Clock, EventList]:
     reactor, sink = Clock(), EventList()
     memory = MemoryStore(ObjectTable(), reactor)
     guard = StoreGuard(memory, reactor, ReactorClock(reactor), Random(1), sink, rate)
@@ -34,7 +34,7 @@
 
 
 def test_call_is_refused_when_budget_is_used_up() -> None:
-    guard, _, reactor, _ = build(rate=2)
+    guard, _, reactor, _ = build_guard(rate=2)
     results = [create(guard, str(index)) for index in range(5)]
     assert [r.is_ok() for r in results] == [True] * 4 + [False]
     assert results[-1].error.fault is StoreFault.REFUSED
@@ -44,7 +44,7 @@
 
 
 def test_breaker_opens_probes_and_closes_when_store_fails_and_returns() -> None:
-    guard, memory, reactor, sink = build(rate=100)
+    guard, memory, reactor, sink = build_guard(rate=100)
     memory.fault.set("down", 0, None)
     for index in range(20):
         assert create(guard, str(index)).error.fault is StoreFault.UNAVAILABLE
@@ -61,7 +61,7 @@
 
 
 def test_write_is_unknown_when_adapter_never_answers() -> None:
-    guard, memory, reactor, _ = build(rate=100)
+    guard, memory, reactor, _ = build_guard(rate=100)
     results: list[Any] = []
 
     async def never(*_: object) -> None:
