--- a/packages/daemon/src/sycamorenotch_daemon/_burn.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_burn.py
@@ -66,7 +66,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Spender:
+class FailureKindCount:
     """Share of one kind of failure in the error budget spent in the longest window.
 
     :param kind: an error kind, ``slow``, or the class of an upstream's status.
@@ -126,11 +126,11 @@
         """Return the counts by window; every window ends now."""
         return self._counts.counts(now)
 
-    def spenders(self, now: timedelta) -> tuple[Spender, ...]:
+    def failure_kinds(self, now: timedelta) -> tuple[FailureKindCount, ...]:
         """Return the kinds of failure that spent error budget, the largest first."""
         longest_window = BurnWindow.THREE_DAYS.length
         found = (
-            Spender(
+            FailureKindCount(
                 kind,
                 ring.counts(now, longest_window).total,
                 tuple(self._decisions[kind]),
--- a/packages/daemon/src/sycamorenotch_daemon/_burn_endpoints.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_burn_endpoints.py
@@ -8,8 +8,8 @@
 from expression import Ok
 
 from sycamorenotch_daemon._burn import BurnRecorder
+from sycamorenotch_daemon._burn import FailureKindCount
 from sycamorenotch_daemon._burn import ObjectiveRecorder
-from sycamorenotch_daemon._burn import Spender
 from sycamorenotch_daemon._node import Node
 from sycamorenotch_daemon._operator_endpoints import OperatorRequest
 from sycamorenotch_daemon._operator_endpoints import OperatorResult
@@ -35,7 +35,7 @@
     latency_share: float
     windows: dict[str, BurnCounts]
     histogram: str
-    spent: tuple[Spender, ...]
+    spent: tuple[FailureKindCount, ...]
 
 
 @final
@@ -66,5 +66,5 @@
         latency_share=objective.latency_share,
         windows={window.value: count for window, count in counts.items()},
         histogram=recorder.encoded_histogram(),
-        spent=recorder.spenders(now),
+        spent=recorder.failure_kinds(now),
     )
--- a/packages/daemon/src/sycamorenotch_daemon/_instances.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_instances.py
@@ -13,7 +13,7 @@
 
 from sycamorenotch_daemon._listing import Listing
 from sycamorenotch_daemon._membership import FleetMembership
-from sycamorenotch_daemon._membership import listed_self
+from sycamorenotch_daemon._membership import own_list_entry
 from sycamorenotch_daemon._node import Node
 from sycamorenotch_daemon._peer_greeting import PeerIdentity
 from sycamorenotch_daemon._peer_mesh import PeerMesh
@@ -76,7 +76,7 @@
         me = self._node.settings.instance
         others = (e for e in self._listing.entries.values() if e.id != me)
         return (
-            self._with_effective_state(listed_self(self._node)),
+            self._with_effective_state(own_list_entry(self._node)),
             *(self._with_effective_state(e) for e in others if self._is_visible(e)),
         )
 
--- a/packages/daemon/src/sycamorenotch_daemon/_membership.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership.py
@@ -227,7 +227,7 @@
             )
 
 
-def listed_self(node: Node) -> ListedInstance:
+def own_list_entry(node: Node) -> ListedInstance:
     """Return this daemon's own entry, which the platform's list may not contain."""
     settings = node.settings
     return ListedInstance(
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_contacts.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_contacts.py
@@ -13,7 +13,7 @@
 
 
 @final
-class PlanContacts:
+class InstanceContacts:
     """Records reports and confirmations of instances within one lease term.
 
     :param since: when the term began, on the holder's monotonic clock; the
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
@@ -15,7 +15,7 @@
 from sycamorenotch_daemon._plan_codec import PLAN_KIND
 from sycamorenotch_daemon._plan_codec import StoredPlan
 from sycamorenotch_daemon._plan_codec import encode_plan
-from sycamorenotch_daemon._plan_contacts import PlanContacts
+from sycamorenotch_daemon._plan_contacts import InstanceContacts
 from sycamorenotch_daemon._plan_events import PlanLeaseLapsed
 from sycamorenotch_daemon._plan_events import PlanNotWritten
 from sycamorenotch_daemon._plan_events import PlanWritten
@@ -62,7 +62,7 @@
         self._loop = background(node.reactor, node.sink, self._turn)
         self._term: int | None = None
         self._written_term: int | None = None
-        self._contacts = PlanContacts(timedelta())
+        self._contacts = InstanceContacts(timedelta())
         self._demands = FleetDemand()
         self._workers = FleetWorkers()
         self._reported: frozenset[Event] = frozenset()
@@ -154,7 +154,7 @@
 
     def _begin_term(self) -> None:
         if self._term != self._lease.term:
-            self._contacts = PlanContacts(self._node.clock.monotonic())
+            self._contacts = InstanceContacts(self._node.clock.monotonic())
         self._term = self._lease.term
         self._store_synced = True
 
