--- a/packages/daemon/src/sycamorenotch_daemon/_plan_messages.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_messages.py
@@ -27,7 +27,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class WorkerNews:
+class WorkerObservation:
     """State of a worker in the sender's region, as the sender observes it.
 
     :param load: share of the worker's slots in use by its own report, in
@@ -58,7 +58,7 @@
     question: int
     sequence: int
     demands: tuple[DemandReport, ...] = ()
-    workers: tuple[WorkerNews, ...] = ()
+    workers: tuple[WorkerObservation, ...] = ()
 
 
 @message(31, "plan.confirmation")
--- a/packages/daemon/src/sycamorenotch_daemon/_worker_news.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_worker_news.py
@@ -9,7 +9,7 @@
 from typing import final
 
 from sycamorenotch_daemon._node import Node
-from sycamorenotch_daemon._plan_messages import WorkerNews
+from sycamorenotch_daemon._plan_messages import WorkerObservation
 from sycamorenotch_daemon._upstreams import Upstreams
 from sycamorenotch_kernel import Environment
 from sycamorenotch_kernel import InstanceId
@@ -21,7 +21,7 @@
 NO_LOAD = -1
 
 
-def news_of_workers(node: Node) -> tuple[WorkerNews, ...]:
+def news_of_workers(node: Node) -> tuple[WorkerObservation, ...]:
     """Return what this instance knows of the workers of its own region.
 
     Another region's workers are left to the instances there, which a cut
@@ -37,7 +37,7 @@
 
 def _news(
     upstreams: Upstreams, region: str, environment: Environment, now: timedelta
-) -> Iterator[WorkerNews]:
+) -> Iterator[WorkerObservation]:
     for service in sorted(environment.services):
         choice = upstreams.choice(service)
         if choice is None:
@@ -47,9 +47,9 @@
                 yield _describe(state, now)
 
 
-def _describe(state: WorkerState, now: timedelta) -> WorkerNews:
+def _describe(state: WorkerState, now: timedelta) -> WorkerObservation:
     report = state.report
-    return WorkerNews(
+    return WorkerObservation(
         worker=state.worker.name,
         usable=state.is_usable,
         load=NO_LOAD
@@ -65,11 +65,11 @@
     """The last news of every worker from each instance."""
 
     def __init__(self) -> None:
-        self._news: dict[InstanceId, tuple[WorkerNews, ...]] = {}
+        self._news: dict[InstanceId, tuple[WorkerObservation, ...]] = {}
         self._at: dict[InstanceId, timedelta] = {}
 
     def report(
-        self, instance: InstanceId, news: tuple[WorkerNews, ...], now: timedelta
+        self, instance: InstanceId, news: tuple[WorkerObservation, ...], now: timedelta
     ) -> None:
         """Replace the news from an instance."""
         self._news[instance] = news
@@ -82,7 +82,9 @@
         present = set(listed)
         self._news = {n: items for n, items in self._news.items() if n in present}
         self._at = {n: at for n, at in self._at.items() if n in present}
-        found: defaultdict[str, list[tuple[WorkerNews, timedelta]]] = defaultdict(list)
+        found: defaultdict[str, list[tuple[WorkerObservation, timedelta]]] = (
+            defaultdict(list)
+        )
         for instance, items in self._news.items():
             silence = now - self._at[instance]
             for item in items:
@@ -90,7 +92,9 @@
         return tuple(_merge(name, found[name]) for name in sorted(found))
 
 
-def _merge(worker: str, news: list[tuple[WorkerNews, timedelta]]) -> WorkerReport:
+def _merge(
+    worker: str, news: list[tuple[WorkerObservation, timedelta]]
+) -> WorkerReport:
     # One instance that cannot reach a worker does not take it out for all.
     newest, age = min(news, key=lambda pair: pair[1])
     failures = sum(item.failures for item, _ in news) / len(news) / SHARE_SCALE
--- a/testing/daemon/plan/test_worker_news.py
+++ b/testing/daemon/plan/test_worker_news.py
@@ -10,7 +10,7 @@
 from sycamorenotch_daemon._peer_codec import encode_message
 from sycamorenotch_daemon._plan_messages import DemandReport
 from sycamorenotch_daemon._plan_messages import PlanQuestion
-from sycamorenotch_daemon._plan_messages import WorkerNews
+from sycamorenotch_daemon._plan_messages import WorkerObservation
 from sycamorenotch_daemon._worker_news import FleetWorkers
 from sycamorenotch_kernel import InstanceId
 from sycamorenotch_kernel import Rank
@@ -19,8 +19,8 @@
 FIRST, OTHER = InstanceId("first"), InstanceId("second")
 
 
-def news(usable: bool = True, load: int = 500, failures: int = 0) -> WorkerNews:
-    return WorkerNews("w", usable, load, 1000, failures)
+def news(usable: bool = True, load: int = 500, failures: int = 0) -> WorkerObservation:
+    return WorkerObservation("w", usable, load, 1000, failures)
 
 
 @pytest.mark.parametrize(
