--- a/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_forwarder.py
@@ -195,9 +195,7 @@
         if progress.attempts == 0:
             self._allowance.record_first_attempt(progress.service, now)
             return True
-        return self._allowance.try_acquire(
-            progress.service, now, self._peers.live_count
-        )
+        return self._allowance.try_acquire(progress.service, now, self._peers.live_count)
 
     def _no_room(self, choice: NoCapacity, now: float, service: str) -> Refusal:
         detail = f"{choice.reason} ({self._workers.book.describe(service, now)})"
