--- a/packages/daemon/src/sycamorenotch_daemon/_admission_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_admission_stage.py
@@ -14,8 +14,8 @@
 
 from sycamorenotch_daemon._call_events import AdmissionRefused
 from sycamorenotch_daemon._call_events import GrantChanged
-from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_daemon._upstreams import Upstreams
 from sycamorenotch_kernel import Call
 from sycamorenotch_kernel import CallResult
@@ -157,7 +157,7 @@
         if not self._waiting:
             self._expiry.stop()
 
-    def _on_configuration(self, in_force: InForce) -> None:
+    def _on_configuration(self, in_force: ServedConfiguration) -> None:
         environment = in_force.environment
         name = environment.policies["admission"]
         for service in environment.services.values():
--- a/packages/daemon/src/sycamorenotch_daemon/_burn.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_burn.py
@@ -13,8 +13,8 @@
 
 from sycamorenotch_daemon._calls import CallPath
 from sycamorenotch_daemon._metrics import outcome_of
-from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_kernel import BurnAlarm
 from sycamorenotch_kernel import BurnCounts
 from sycamorenotch_kernel import BurnTarget
@@ -174,7 +174,7 @@
         """The recorders, in the document's order of objectives."""
         return tuple(self._recorders.values())
 
-    def _on_configuration(self, in_force: InForce) -> None:
+    def _on_configuration(self, in_force: ServedConfiguration) -> None:
         objectives = {
             (item.service, item.rank): item for item in in_force.environment.objectives
         }
--- a/packages/daemon/src/sycamorenotch_daemon/_configuration.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_configuration.py
@@ -19,8 +19,8 @@
 from sycamorenotch_daemon._events import ConfigurationInvalid
 from sycamorenotch_daemon._events import ConfigurationUnavailable
 from sycamorenotch_daemon._membership import FleetMembership
-from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_daemon._peer_greeting import PeerIdentity
 from sycamorenotch_daemon._peer_mesh import PeerMesh
 from sycamorenotch_documents import InvalidFileError
@@ -215,7 +215,7 @@
         node.sink.emit(ConfigurationInvalid(candidate.generation, str(exc)))
         return False
     return node.configuration.put(
-        InForce(
+        ServedConfiguration(
             environment=environment,
             generation=candidate.generation,
             digest=candidate.digest.hex(),
--- a/packages/daemon/src/sycamorenotch_daemon/_demand.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_demand.py
@@ -9,8 +9,8 @@
 from typing import ClassVar
 from typing import final
 
-from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_daemon._plan_messages import DemandReport
 from sycamorenotch_kernel import Call
 from sycamorenotch_kernel import CallResult
@@ -76,7 +76,7 @@
         self._counter.count((call.route.service, source, call.rank))
         return await proceed(call)
 
-    def _on_configuration(self, in_force: InForce) -> None:
+    def _on_configuration(self, in_force: ServedConfiguration) -> None:
         regions = in_force.environment.regions
         self._regions = tuple(regions)
         self._blocks = BlockTable(
--- a/packages/daemon/src/sycamorenotch_daemon/_drains.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_drains.py
@@ -6,8 +6,8 @@
 from typing import ClassVar
 from typing import final
 
-from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_kernel import Drains
 from sycamorenotch_kernel import Event
 from sycamorenotch_kernel import components
@@ -43,7 +43,7 @@
     async def stop(self) -> None:
         """Do nothing; there is nothing to release."""
 
-    def _on_configuration(self, in_force: InForce) -> None:
+    def _on_configuration(self, in_force: ServedConfiguration) -> None:
         if in_force.drains == self._drains.current:
             return
         self._drains.replace(in_force.drains)
--- a/packages/daemon/src/sycamorenotch_daemon/_lookups.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_lookups.py
@@ -15,8 +15,8 @@
 
 from sycamorenotch_daemon._events import LookupAnswered
 from sycamorenotch_daemon._instances import InstanceView
-from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_daemon._plan_view import PlanView
 from sycamorenotch_daemon._problems import write_problem
 from sycamorenotch_kernel import DecisionId
@@ -60,7 +60,7 @@
         headers.setRawHeaders(b"Decision-Id", [decision.encode()])
         return self._encode(result.ok) + decision.encode() + b'"}'
 
-    def _on_configuration(self, in_force: InForce) -> None:
+    def _on_configuration(self, in_force: ServedConfiguration) -> None:
         home = self._node.settings.region
         self._table = LookupTable(in_force.environment, home)
 
--- a/packages/daemon/src/sycamorenotch_daemon/_membership.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership.py
@@ -11,8 +11,8 @@
 
 from sycamorenotch_daemon._fleet import FleetView
 from sycamorenotch_daemon._membership_events import MemberChanged
-from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_daemon._peer_greeting import PeerIdentity
 from sycamorenotch_daemon._peer_mesh import PeerMesh
 from sycamorenotch_kernel import Heartbeat
@@ -212,7 +212,7 @@
         if message.answer:
             self._mesh.send(peer.instance, self._heartbeat(answer=False))
 
-    def _on_configuration(self, _: InForce) -> None:
+    def _on_configuration(self, _: ServedConfiguration) -> None:
         recipients = (self._successor, *self._contacts)
         for instance in {i for i in recipients if i is not None}:
             self._mesh.send(instance, self._heartbeat(answer=False))
--- a/packages/daemon/src/sycamorenotch_daemon/_node.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_node.py
@@ -49,7 +49,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class InForce:
+class ServedConfiguration:
     """The configuration that a daemon serves.
 
     :param generation: the store's version of the document.
@@ -65,7 +65,7 @@
     drains: tuple[Drain, ...] = ()
 
 
-Subscriber = Callable[[InForce], None]
+Subscriber = Callable[[ServedConfiguration], None]
 
 
 @final
@@ -75,11 +75,11 @@
     def __init__(self, sink: EventSink, invariants: InvariantMonitor) -> None:
         self._sink = sink
         self._invariants = invariants
-        self._current: InForce | None = None
+        self._current: ServedConfiguration | None = None
         self._subscribers: list[Subscriber] = []
 
     @property
-    def current(self) -> InForce | None:
+    def current(self) -> ServedConfiguration | None:
         """The configuration in force, or None before the first one."""
         return self._current
 
@@ -94,7 +94,7 @@
         if self._current is not None:
             subscriber(self._current)
 
-    def put(self, candidate: InForce) -> bool:
+    def put(self, candidate: ServedConfiguration) -> bool:
         """Put a candidate in force if its generation is newer.
 
         :return: whether the candidate was put in force.
@@ -113,7 +113,7 @@
             subscriber(candidate)
         return True
 
-    def _supersedes(self, candidate: InForce) -> bool:
+    def _supersedes(self, candidate: ServedConfiguration) -> bool:
         current = self._current
         return current is None or current.generation < candidate.generation
 
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
@@ -10,8 +10,8 @@
 from sycamorenotch_daemon._fleet_demand import FleetDemand
 from sycamorenotch_daemon._instances import InstanceView
 from sycamorenotch_daemon._lease import PlanLease
-from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_daemon._plan_codec import PLAN_KIND
 from sycamorenotch_daemon._plan_codec import StoredPlan
 from sycamorenotch_daemon._plan_codec import encode_plan
@@ -106,7 +106,7 @@
         self._contacts.confirm(instance, self._node.clock.monotonic())
         return True
 
-    def _on_configuration(self, _: InForce) -> None:
+    def _on_configuration(self, _: ServedConfiguration) -> None:
         if self._lease.is_held():
             self._loop.wake()
 
@@ -116,7 +116,7 @@
             await self._make_plan(current)
         return PLAN_INTERVAL
 
-    async def _make_plan(self, current: InForce) -> None:
+    async def _make_plan(self, current: ServedConfiguration) -> None:
         if not self._store_synced or self._term != self._lease.term:
             if not await self._watch.read():
                 return
@@ -158,7 +158,7 @@
         self._term = self._lease.term
         self._store_synced = True
 
-    def _build_view(self, current: InForce) -> SteeringView:
+    def _build_view(self, current: ServedConfiguration) -> SteeringView:
         instances = self._node.require(InstanceView).instances()  # type: ignore[type-abstract]
         plan = self._watch.plan()
         grants = () if plan is None else plan.grants
@@ -180,7 +180,7 @@
             drained=self._drained_regions(current),
         )
 
-    def _drained_regions(self, current: InForce) -> frozenset[str]:
+    def _drained_regions(self, current: ServedConfiguration) -> frozenset[str]:
         drains = self._node.require(Drains).current
         drained_names = {d.name for d in drains if d.kind is DrainKind.DATA_CENTRE}
         regions = current.environment.regions.values()
--- a/packages/daemon/src/sycamorenotch_daemon/_retry_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_retry_stage.py
@@ -13,8 +13,8 @@
 
 from sycamorenotch_daemon._call_events import RetryRefused
 from sycamorenotch_daemon._call_events import RetryScheduled
-from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_kernel import Call
 from sycamorenotch_kernel import CallResult
 from sycamorenotch_kernel import ErrorKind
@@ -119,7 +119,7 @@
             self._rules[service] = factory(self._node.random)
         return self._rules[service]
 
-    def _on_configuration(self, in_force: InForce) -> None:
+    def _on_configuration(self, in_force: ServedConfiguration) -> None:
         name = in_force.environment.policies["retry"]
         if name != self._name:
             self._name = name
--- a/packages/daemon/src/sycamorenotch_daemon/_upstreams.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_upstreams.py
@@ -11,8 +11,8 @@
 from twisted.internet.task import LoopingCall
 
 from sycamorenotch_daemon._instances import InstanceView
-from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_daemon._upstream_client import UpstreamClient
 from sycamorenotch_kernel import Drains
 from sycamorenotch_kernel import Environment
@@ -105,7 +105,7 @@
         live = (i for i in self._view.instances() if i.state is InstanceState.LIVE)
         return max(1, sum(region in (None, item.region) for item in live))
 
-    def _on_configuration(self, in_force: InForce) -> None:
+    def _on_configuration(self, in_force: ServedConfiguration) -> None:
         environment = in_force.environment
         now = self._node.clock.monotonic()
         name = environment.policies["choice"]
--- a/packages/workbench/src/sycamorenotch_workbench/claim_costs.py
+++ b/packages/workbench/src/sycamorenotch_workbench/claim_costs.py
@@ -20,7 +20,7 @@
 from sycamorenotch_daemon._claim_settler import ClaimSettler
 from sycamorenotch_daemon._claim_stage import ClaimStage
 from sycamorenotch_daemon._clock import ReactorClock
-from sycamorenotch_daemon._node import InForce
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_daemon._store_guard import StoreGuard
 from sycamorenotch_documents import parse_environment
 from sycamorenotch_documents import parse_settings
@@ -152,7 +152,9 @@
 
     def _stage(self, node: Node) -> ClaimStage:
         ClaimSettler(node)
-        node.configuration.put(InForce(self._environment, 1, "", self._text))
+        node.configuration.put(
+            ServedConfiguration(self._environment, 1, "", self._text)
+        )
         return ClaimStage(node)
 
 
--- a/testing/daemon/claims/conftest.py
+++ b/testing/daemon/claims/conftest.py
@@ -21,8 +21,8 @@
 from sycamorenotch_daemon._claim_settler import ClaimSettler
 from sycamorenotch_daemon._claim_stage import ClaimStage
 from sycamorenotch_daemon._clock import ReactorClock
-from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_documents import parse_environment
 from sycamorenotch_documents import parse_settings
 from sycamorenotch_kernel import Call
@@ -224,7 +224,7 @@
             directory=self.store,  # type: ignore[arg-type]
             token="",
         )
-        self.node.configuration.put(InForce(ENVIRONMENT, 1, "", DOCUMENT))
+        self.node.configuration.put(ServedConfiguration(ENVIRONMENT, 1, "", DOCUMENT))
         self.settler = ClaimSettler(self.node)
         self.stage = ClaimStage(self.node)
 
--- a/testing/daemon/plan/conftest.py
+++ b/testing/daemon/plan/conftest.py
@@ -14,8 +14,8 @@
 from sycamorenotch_daemon._clock import ReactorClock
 from sycamorenotch_daemon._instances import InstanceView
 from sycamorenotch_daemon._lease import PlanLease
-from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_daemon._plan_holder import PlanHolder
 from sycamorenotch_daemon._plan_watch import PlanWatch
 from sycamorenotch_daemon._store_guard import StoreGuard
@@ -101,7 +101,7 @@
             Deferred.fromCoroutine(component.stop())
 
     def configure(self, generation: int) -> None:
-        in_force = InForce(ENVIRONMENT, generation, "", DOCUMENT)
+        in_force = ServedConfiguration(ENVIRONMENT, generation, "", DOCUMENT)
         self.node.configuration.put(in_force)
 
     def events(self, name: str) -> list[Any]:
--- a/testing/daemon/test_configuration_in_force.py
+++ b/testing/daemon/test_configuration_in_force.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sycamorenotch_daemon._node import ConfigurationInForce
-from sycamorenotch_daemon._node import InForce
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_documents import parse_environment
 from sycamorenotch_kernel import EventList
 from sycamorenotch_kernel import Invariant
@@ -15,8 +15,8 @@
 ENVIRONMENT = parse_environment(soak_document())
 
 
-def in_force(generation: int) -> InForce:
-    return InForce(ENVIRONMENT, generation, "digest", "text")
+def in_force(generation: int) -> ServedConfiguration:
+    return ServedConfiguration(ENVIRONMENT, generation, "digest", "text")
 
 
 @pytest.fixture
