--- a/packages/daemon/src/sycamorenotch_daemon/__init__.py
+++ b/packages/daemon/src/sycamorenotch_daemon/__init__.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from sycamorenotch_daemon._build import Surroundings
+from sycamorenotch_daemon._build import ProcessDependencies
 from sycamorenotch_daemon._build import build_daemon
 from sycamorenotch_daemon._clock import ReactorClock
 from sycamorenotch_daemon._daemon import Daemon
 from sycamorenotch_daemon._node import Node
 
-__all__ = ["Daemon", "Node", "ReactorClock", "Surroundings", "build_daemon"]
+__all__ = ["Daemon", "Node", "ProcessDependencies", "ReactorClock", "build_daemon"]
--- a/packages/daemon/src/sycamorenotch_daemon/_build.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_build.py
@@ -31,7 +31,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class ProcessDependencies:
     """Dependencies of a daemon on its process; tests replace them.
 
     :param strict: whether a violated invariant raises an exception.
@@ -44,38 +44,40 @@
 
 
 def build_daemon(
-    settings: DaemonSettings, reactor: Any, surroundings: Surroundings | None = None
+    settings: DaemonSettings,
+    reactor: Any,
+    dependencies: ProcessDependencies | None = None,
 ) -> Daemon:
     """Build a daemon with every registered component.
 
     :param settings: validated settings.
     :param reactor: the reactor of the process.
-    :param surroundings: defaults to the system's clock and random source and to
+    :param dependencies: defaults to the system's clock and random source and to
         the eliot log.
     :raises OSError: if a secret file cannot be read.
     """
     load_plugins()
     install_literal_resolver(reactor)
-    dependencies = Surroundings() if surroundings is None else surroundings
+    resolved = ProcessDependencies() if dependencies is None else dependencies
     adapter = store_adapters.get(settings.store_adapter)(settings.store_url, reactor)
     metrics = Metrics()
-    sink = FanOutSink(dependencies.sink, MetricsSink(metrics))
+    sink = FanOutSink(resolved.sink, MetricsSink(metrics))
     store = StoreGuard(
         adapter,
         reactor,
-        dependencies.clock,
-        dependencies.random,
+        resolved.clock,
+        resolved.random,
         sink,
         settings.calls_per_second,
     )
     node = Node(
         settings=settings,
         reactor=reactor,
-        clock=dependencies.clock,
-        random=dependencies.random,
+        clock=resolved.clock,
+        random=resolved.random,
         sink=sink,
         decisions=RecentDecisions(),
-        invariants=InvariantMonitor(sink, strict=dependencies.strict),
+        invariants=InvariantMonitor(sink, strict=resolved.strict),
         store=store,
         directory=store,
         token=_read_secret(settings.operator_token_file),
--- a/packages/workbench/src/sycamorenotch_workbench/_virtual_system.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_virtual_system.py
@@ -23,8 +23,8 @@
 from twisted.web.server import Site
 
 from sycamorenotch_daemon import Daemon
+from sycamorenotch_daemon import ProcessDependencies
 from sycamorenotch_daemon import ReactorClock
-from sycamorenotch_daemon import Surroundings
 from sycamorenotch_daemon import build_daemon
 from sycamorenotch_documents import parse_environment
 from sycamorenotch_documents import parse_settings
@@ -242,7 +242,7 @@
                 token_file=self._token_file,
             )
         )
-        around = Surroundings(
+        around = ProcessDependencies(
             clock=ReactorClock(host),
             random=Random(self._random.getrandbits(64)),
             sink=_Recorder(name, host, self.entries),
