--- a/packages/daemon/src/sycamorenotch_daemon/_burn.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_burn.py
@@ -129,7 +129,7 @@
     def failure_kinds(self, now: timedelta) -> tuple[FailureKindCount, ...]:
         """Return the kinds of failure that spent error budget, the largest first."""
         longest_window = BurnWindow.THREE_DAYS.length
-        found = (
+        unsorted_kinds = (
             FailureKindCount(
                 kind,
                 ring.counts(now, longest_window).total,
@@ -137,7 +137,7 @@
             )
             for kind, ring in self._spent.items()
         )
-        return tuple(sorted(found, key=lambda item: (-item.count, item.kind)))
+        return tuple(sorted(unsorted_kinds, key=lambda item: (-item.count, item.kind)))
 
     def encoded_histogram(self) -> str:
         """Return the latency histogram since the start as mergeable HDR V2 text."""
@@ -178,9 +178,9 @@
         objectives = {
             (item.service, item.rank): item for item in in_force.environment.objectives
         }
-        kept = self._recorders
+        previous = self._recorders
         self._recorders = {
-            key: kept.get(key, ObjectiveRecorder(item))
+            key: previous.get(key, ObjectiveRecorder(item))
             for key, item in objectives.items()
         }
         for key, item in objectives.items():
--- a/packages/daemon/src/sycamorenotch_daemon/_configuration.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_configuration.py
@@ -119,15 +119,15 @@
             if not self._fleet.is_watcher():
                 await self._sleep(ROLE_CHECK_INTERVAL)
                 continue
-            changes = await self._node.store.watch(
+            watched = await self._node.store.watch(
                 ENVIRONMENT_KIND, after, WATCH_TIMEOUT
             )
-            if changes.is_error():
-                self._report(changes.error)
+            if watched.is_error():
+                self._report(watched.error)
                 await self._sleep(RETRY_DELAY)
                 continue
-            after = changes.ok.version
-            for stored in changes.ok.objects:
+            after = watched.ok.version
+            for stored in watched.ok.objects:
                 if stored.name == self._node.settings.environment:
                     self._accept_stored(stored)
 
@@ -152,11 +152,11 @@
 
     def _push_to_members(self, generation: int) -> None:
         known_generations = {m.instance: m.generation for m in self._fleet.members()}
-        centre = self._node.settings.data_centre
+        own_data_centre = self._node.settings.data_centre
         for peer in self._mesh.connected():
             sent = self._pushed_generations.get(peer.instance, 0)
             base = max(sent, known_generations.get(peer.instance, 0))
-            if peer.data_centre == centre and base < generation:
+            if peer.data_centre == own_data_centre and base < generation:
                 push = self._history.make_push(base)
                 if push is not None and self._mesh.send(peer.instance, push):
                     self._pushed_generations[peer.instance] = generation
--- a/packages/daemon/src/sycamorenotch_daemon/_demand.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_demand.py
@@ -86,5 +86,7 @@
         )
 
     def _region_of(self, client: str) -> str:
-        found = None if self._blocks is None else self._blocks.find(ip_address(client))
-        return self._own_region if found is None else self._regions[found]
+        region_index = (
+            None if self._blocks is None else self._blocks.find(ip_address(client))
+        )
+        return self._own_region if region_index is None else self._regions[region_index]
--- a/packages/daemon/src/sycamorenotch_daemon/_document_endpoints.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_document_endpoints.py
@@ -55,12 +55,12 @@
     revisions: tuple[Revision, ...]
 
 
-def document_body(name: str, found: VersionedDocument) -> DocumentBody:
+def document_body(name: str, versioned: VersionedDocument) -> DocumentBody:
     """Return the response body for a document."""
-    document = found.document
+    document = versioned.document
     return DocumentBody(
         environment=name,
-        generation=found.generation,
+        generation=versioned.generation,
         author=document.author,
         at=document.at,
         change=document.change,
@@ -75,16 +75,16 @@
 async def read_document(node: Node, req: OperatorRequest) -> OperatorResult:
     """Return the newest document of an environment."""
     name = req.arguments["name"]
-    found = await DocumentStore(node).read(name)
-    return found.map(lambda item: document_body(name, item))
+    result = await DocumentStore(node).read(name)
+    return result.map(lambda item: document_body(name, item))
 
 
 @endpoint("GET", "/v1/documents/<name>/history")
 async def read_history(node: Node, req: OperatorRequest) -> OperatorResult:
     """Return the author and time of each retained generation."""
     name = req.arguments["name"]
-    found = await DocumentStore(node).read(name)
-    return found.map(lambda item: HistoryBody(name, item.history))
+    result = await DocumentStore(node).read(name)
+    return result.map(lambda item: HistoryBody(name, item.history))
 
 
 @endpoint("PUT", "/v1/documents/<name>")
@@ -118,12 +118,12 @@
     if not expected.isdecimal():
         detail = "If-Match must hold a generation, such as 12"
         return Error(Failure(ErrorKind.BAD_REQUEST, detail))
-    found = await store.read(name)
-    if found.is_error():
-        return Error(found.error)
-    if found.ok.generation != int(expected):
-        return Error(conflict(name, found.ok))
-    return Ok(found.ok)
+    result = await store.read(name)
+    if result.is_error():
+        return Error(result.error)
+    if result.ok.generation != int(expected):
+        return Error(conflict(name, result.ok))
+    return Ok(result.ok)
 
 
 def _valid_text(body: bytes) -> Result[str, Failure]:
--- a/packages/daemon/src/sycamorenotch_daemon/_document_store.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_document_store.py
@@ -56,10 +56,10 @@
 
     async def read(self, name: str) -> Result[VersionedDocument, Failure]:
         """Read the stored document of an environment."""
-        found = await self._node.store.get(ENVIRONMENT_KIND, name, CALL_TIMEOUT)
-        if found.is_error():
-            return Error(_to_failure(found.error, name))
-        return _decode(found.ok)
+        result = await self._node.store.get(ENVIRONMENT_KIND, name, CALL_TIMEOUT)
+        if result.is_error():
+            return Error(_to_failure(result.error, name))
+        return _decode(result.ok)
 
     async def write(
         self, name: str, changed: StoredDocument, base: VersionedDocument | None
@@ -102,10 +102,10 @@
 
         :return: the outcome, or None if the write may be retried.
         """
-        found = await self.read(name)
-        if found.is_error():
+        result = await self.read(name)
+        if result.is_error():
             return None
-        current = found.ok
+        current = result.ok
         if any(item.attempt == attempt for item in current.history):
             return Ok(current)
         if base is not None and current.generation == base.generation:
--- a/packages/daemon/src/sycamorenotch_daemon/_drain_endpoints.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_drain_endpoints.py
@@ -68,10 +68,10 @@
     name, store = req.arguments["environment"], DocumentStore(node)
     result: OperatorResult = Error(Failure(ErrorKind.CONFLICT, "too many conflicts"))
     for _ in range(CHANGE_ATTEMPTS):
-        found = await store.read(name)
-        if found.is_error():
-            return Error(found.error)
-        document = found.ok.document
+        read_result = await store.read(name)
+        if read_result.is_error():
+            return Error(read_result.error)
+        document = read_result.ok.document
         if added is not None:
             problem = _check_name(node, document.text, added)
             if problem is not None:
@@ -83,7 +83,7 @@
             change=description,
             source="",
         )
-        written = await store.write(name, changed, found.ok)
+        written = await store.write(name, changed, read_result.ok)
         result = written.map(lambda item: document_body(name, item))
         if result.is_ok() or result.error.kind is not ErrorKind.CONFLICT:
             return result
--- a/packages/daemon/src/sycamorenotch_daemon/_instances.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_instances.py
@@ -73,8 +73,8 @@
 
         Drained and leaving instances have the state ``LEAVING``.
         """
-        me = self._node.settings.instance
-        others = (e for e in self._listing.entries.values() if e.id != me)
+        own_id = self._node.settings.instance
+        others = (e for e in self._listing.entries.values() if e.id != own_id)
         return (
             self._with_effective_state(own_list_entry(self._node)),
             *(self._with_effective_state(e) for e in others if self._is_visible(e)),
@@ -94,19 +94,19 @@
             await self._refresh()
 
     async def _refresh(self) -> None:
-        found = await self._node.directory.instances(POLL_TIMEOUT)
+        result = await self._node.directory.instances(POLL_TIMEOUT)
         # An empty list is invalid, as it should contain at least this instance.
-        if found.is_error() or (self._listing.entries and not found.ok):
+        if result.is_error() or (self._listing.entries and not result.ok):
             return
-        push = self._listing.replace(found.ok)
+        push = self._listing.replace(result.ok)
         if push is not None:
             self._fleet.update_instances(self._listing.entries.values())
             self._push_to_members(push)
 
     def _push_to_members(self, push: ListingPush) -> None:
-        centre = self._node.settings.data_centre
+        own_data_centre = self._node.settings.data_centre
         for peer in self._mesh.connected():
-            if peer.data_centre == centre:
+            if peer.data_centre == own_data_centre:
                 self._mesh.send(peer.instance, push)
 
     def _on_connected(self, peer: PeerIdentity) -> None:
--- a/packages/daemon/src/sycamorenotch_daemon/_lease.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_lease.py
@@ -109,8 +109,10 @@
 
     def _is_candidate(self) -> bool:
         instances = self._node.require(InstanceView).instances()  # type: ignore[type-abstract]
-        me = InstanceId(self._node.settings.instance)
-        return not self._node.stopping and me in lease_candidates(self._name, instances)
+        own_id = InstanceId(self._node.settings.instance)
+        return not self._node.stopping and own_id in lease_candidates(
+            self._name, instances
+        )
 
     def _apply(self, event: LeaseResult) -> None:
         self._lease.apply_result(event, self._node.clock.monotonic())
--- a/packages/daemon/src/sycamorenotch_daemon/_membership.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership.py
@@ -178,9 +178,11 @@
 
     def _select_peers(self) -> None:
         usable = tuple(i for i in self._listed if self._members.usable(i))
-        centre = self._node.settings.data_centre
-        local = tuple(i for i in usable if self._listed[i].data_centre == centre)
-        self._watchers = watchers(centre, local)
+        own_data_centre = self._node.settings.data_centre
+        local = tuple(
+            i for i in usable if self._listed[i].data_centre == own_data_centre
+        )
+        self._watchers = watchers(own_data_centre, local)
         self._successor = successor(self._own_id, local)
         # A suspected peer stays a contact, so that its recovery is detected.
         self._contacts = neighbours(self._own_id, self._listed, MAX_CONTACTS)
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_watch.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_watch.py
@@ -79,17 +79,17 @@
 
         :return: whether the read succeeded; an absent plan counts as success.
         """
-        found = await self._node.store.get(PLAN_KIND, self._name, READ_TIMEOUT)
-        if found.is_ok():
-            self.accept(found.ok)
-            self._watch_after = max(self._watch_after or Version(0), found.ok.version)
+        result = await self._node.store.get(PLAN_KIND, self._name, READ_TIMEOUT)
+        if result.is_ok():
+            self.accept(result.ok)
+            self._watch_after = max(self._watch_after or Version(0), result.ok.version)
             return True
-        if found.error.fault is StoreFault.NOT_FOUND:
+        if result.error.fault is StoreFault.NOT_FOUND:
             # The plan in force stays, and the holder may create the object again.
             self._watch_after = self._watch_after or Version(0)
             self.version = None
             return True
-        self._report_failure(found.error)
+        self._report_failure(result.error)
         return False
 
     def accept(self, stored: StoredObject) -> bool:
--- a/testing/daemon/test_peer_streams.py
+++ b/testing/daemon/test_peer_streams.py
@@ -47,7 +47,7 @@
     return daemon.node.require(PeerMesh)
 
 
-def numbers(daemon: ControlDaemon) -> list[int]:
+def event_numbers(daemon: ControlDaemon) -> list[int]:
     return [event.number for event in daemon.sink.events]
 
 
@@ -93,7 +93,7 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(first: ControlDaemon, second: ControlDaemon) -> None:
-        await until(lambda: 4102 in numbers(first) + numbers(second))
+        await until(lambda: 4102 in event_numbers(first) + event_numbers(second))
         assert mesh(first).connected() == mesh(second).connected() == ()
 
     run_pair(run_in_reactor, scenario, (b"key", b"other"))
@@ -117,7 +117,7 @@
         endpoint = TCP4ClientEndpoint(reactor, host, int(port))
         attacker = await connectProtocol(endpoint, Protocol())
         attacker.transport.write(attack)
-        await until(lambda: 4102 in numbers(second))
+        await until(lambda: 4102 in event_numbers(second))
         assert mesh(first).send(InstanceId("b"), HEARTBEAT)
 
     run_pair(run_in_reactor, scenario)
@@ -135,7 +135,7 @@
         stream.sendString(msgpack.packb([60000, ["of a later version"]]))
         stream.send(HEARTBEAT)
         await until(lambda: bool(received))
-        assert numbers(second).count(4104) == 1
+        assert event_numbers(second).count(4104) == 1
 
     run_pair(run_in_reactor, scenario)
 
@@ -149,7 +149,7 @@
         stream = mesh(first)._streams[InstanceId("b")][0]
         stream.transport.write(b"\x7f\xff\xff\xff")
         await until(lambda: not mesh(first).is_connected(InstanceId("b")))
-        assert 4102 in numbers(second)
+        assert 4102 in event_numbers(second)
 
         def reconnected() -> bool:
             mesh(first).set_targets(targets)
--- a/testing/daemon/test_store_adapters.py
+++ b/testing/daemon/test_store_adapters.py
@@ -26,8 +26,8 @@
 from sycamorenotch_standins._faults import FaultSwitch
 from sycamorenotch_standins._memory import MemoryStore
 
-SOON = timedelta(seconds=5)
-SHORT = timedelta(milliseconds=200)
+CALL_TIMEOUT = timedelta(seconds=5)
+SHORT_TIMEOUT = timedelta(milliseconds=200)
 
 
 @dataclass
@@ -68,9 +68,9 @@
     setup: StoreSetup, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
-        created = await setup.store.create("plans", "p", b"\x00one", SOON)
-        assert (await setup.store.get("plans", "p", SOON)).ok == created.ok
-        assert (await setup.store.list("plans", SOON)).ok == (created.ok,)
+        created = await setup.store.create("plans", "p", b"\x00one", CALL_TIMEOUT)
+        assert (await setup.store.get("plans", "p", CALL_TIMEOUT)).ok == created.ok
+        assert (await setup.store.list("plans", CALL_TIMEOUT)).ok == (created.ok,)
 
     run_in_reactor(scenario())
 
@@ -79,12 +79,14 @@
     setup: StoreSetup, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
-        first = (await setup.store.create("plans", "p", b"1", SOON)).ok
-        second = (await setup.store.update("plans", "p", b"2", first.version, SOON)).ok
-        lost = await setup.store.update("plans", "p", b"3", first.version, SOON)
+        first = (await setup.store.create("plans", "p", b"1", CALL_TIMEOUT)).ok
+        second = (
+            await setup.store.update("plans", "p", b"2", first.version, CALL_TIMEOUT)
+        ).ok
+        lost = await setup.store.update("plans", "p", b"3", first.version, CALL_TIMEOUT)
         assert lost.error.fault is StoreFault.CONFLICT
         assert lost.error.current == second
-        again = await setup.store.create("plans", "p", b"4", SOON)
+        again = await setup.store.create("plans", "p", b"4", CALL_TIMEOUT)
         assert again.error.fault is StoreFault.CONFLICT
 
     run_in_reactor(scenario())
@@ -95,9 +97,9 @@
 ) -> None:
     async def scenario() -> None:
         setup.fault.set("lose_answers", 0, 1)
-        lost = await setup.store.create("plans", "p", b"1", SOON)
+        lost = await setup.store.create("plans", "p", b"1", CALL_TIMEOUT)
         assert lost.error.fault is StoreFault.UNKNOWN
-        assert (await setup.store.get("plans", "p", SOON)).ok.value == b"1"
+        assert (await setup.store.get("plans", "p", CALL_TIMEOUT)).ok.value == b"1"
 
     run_in_reactor(scenario())
 
@@ -108,7 +110,7 @@
     async def scenario() -> None:
         setup.table.create("plans", "p", b"1")
         setup.fault.set("down", 0, 1)
-        assert (await setup.store.get("plans", "p", SOON)).ok.value == b"1"
+        assert (await setup.store.get("plans", "p", CALL_TIMEOUT)).ok.value == b"1"
         assert setup.store.calls.made["get"] == 2
         assert setup.store.calls.failed["get"] == 1
 
@@ -120,7 +122,7 @@
 ) -> None:
     async def scenario() -> None:
         setup.fault.set("down", 0, None)
-        refused = await setup.store.create("plans", "p", b"1", SOON)
+        refused = await setup.store.create("plans", "p", b"1", CALL_TIMEOUT)
         assert refused.error.fault is StoreFault.UNAVAILABLE
         assert setup.table.list("plans") == ()
 
@@ -132,7 +134,7 @@
 ) -> None:
     async def scenario() -> None:
         setup.fault.set("slow", 0.5, 1)
-        late = await setup.store.create("plans", "p", b"1", SHORT)
+        late = await setup.store.create("plans", "p", b"1", SHORT_TIMEOUT)
         assert late.error.fault is StoreFault.UNKNOWN
 
     run_in_reactor(scenario())
@@ -142,8 +144,10 @@
     setup: StoreSetup, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
-        watched = Deferred.fromCoroutine(setup.store.watch("plans", Version(0), SOON))
-        written = await setup.store.create("plans", "p", b"1", SOON)
+        watched = Deferred.fromCoroutine(
+            setup.store.watch("plans", Version(0), CALL_TIMEOUT)
+        )
+        written = await setup.store.create("plans", "p", b"1", CALL_TIMEOUT)
         changes = (await watched).ok
         assert changes.objects == (written.ok,)
         assert changes.version == written.ok.version
@@ -155,6 +159,8 @@
     setup: StoreSetup, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
-        assert (await setup.store.watch("plans", Version(0), SHORT)).ok.objects == ()
+        assert (
+            await setup.store.watch("plans", Version(0), SHORT_TIMEOUT)
+        ).ok.objects == ()
 
     run_in_reactor(scenario())
