--- a/packages/daemon/src/sycamorenotch_daemon/_burn.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_burn.py
@@ -57,7 +57,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class BurnAlarmCleared(Event):
-    """The burn rate of an objective fell below the alarm's threshold."""
+    """The burn rate on this instance no longer exceeds the alarm's threshold."""
 
     service: str
     rank: str
@@ -67,10 +67,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class FailureKindCount:
-    """Share of one kind of failure in the error budget spent in the longest window.
+    """Failed or slow calls of one kind in the longest window.
 
     :param kind: an error kind, ``slow``, or the class of an upstream's status.
-    :param count: number of failed or slow calls of this kind.
+    :param count: number of calls; each of them spent error budget.
     :param decisions: identifiers of the newest calls of this kind.
     """
 
--- a/packages/daemon/src/sycamorenotch_daemon/_configuration.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_configuration.py
@@ -99,8 +99,8 @@
     def is_ready(self) -> bool:
         """Return whether the configuration in force may be served to callers.
 
-        It may once it was read from the store, or once the reachable peers have
-        reported no newer generation.
+        It may once it was read from the store, or once enough peers have
+        reported their generations and none is newer.
         """
         generation = self._node.configuration.generation
         return self._confirmation.try_confirm(generation, len(self._mesh.connected()))
