--- a/packages/daemon/src/sycamorenotch_daemon/_burn_endpoints.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_burn_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint that shows how the objectives are met on one instance."""
+"""Endpoint that returns the objective counts of one instance."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from expression import Ok
 
 from sycamorenotch_daemon._burn import BurnRecorder
+from sycamorenotch_daemon._burn import FailureKindCount
 from sycamorenotch_daemon._burn import ObjectiveRecorder
-from sycamorenotch_daemon._burn import Spender
 from sycamorenotch_daemon._node import Node
 from sycamorenotch_daemon._operator_endpoints import OperatorRequest
 from sycamorenotch_daemon._operator_endpoints import OperatorResult
@@ -22,8 +22,10 @@
 class ObjectiveBody:
     """Counts of one objective on one instance.
 
+    :param latency_share: target share of calls within ``latency_s``.
     :param windows: counts by the label of the window.
     :param histogram: latencies in milliseconds, encoded as HDR V2.
+    :param spent: kinds of failure that spent error budget, the largest first.
     """
 
     service: str
@@ -33,7 +35,7 @@
     latency_share: float
     windows: dict[str, BurnCounts]
     histogram: str
-    spent: tuple[Spender, ...]
+    spent: tuple[FailureKindCount, ...]
 
 
 @final
@@ -47,7 +49,7 @@
 
 @endpoint("GET", "/v1/burn")
 async def burn(node: Node, req: OperatorRequest) -> OperatorResult:
-    """Return what the report on service-level burn is made of."""
+    """Return the data of this instance for the burn report."""
     recorders = node.require(BurnRecorder).recorders
     objectives = tuple(_body(node, recorder) for recorder in recorders)
     return Ok(BurnBody(node.settings.instance, objectives))
@@ -64,5 +66,5 @@
         latency_share=objective.latency_share,
         windows={window.value: count for window, count in counts.items()},
         histogram=recorder.encoded_histogram(),
-        spent=recorder.spenders(now),
+        spent=recorder.failure_kinds(now),
     )
--- a/packages/daemon/src/sycamorenotch_daemon/_drains.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_drains.py
@@ -1,4 +1,4 @@
-"""Keeps the drains of the configuration in force."""
+"""Applies the drains of the configuration in force."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from typing import ClassVar
 from typing import final
 
-from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
+from sycamorenotch_daemon._node import ServedConfiguration
 from sycamorenotch_kernel import Drains
 from sycamorenotch_kernel import Event
 from sycamorenotch_kernel import components
@@ -26,8 +26,8 @@
 
 @components.register("drains")
 @final
-class DrainKeeper:
-    """Provides the drains that came with the configuration in force."""
+class DrainsComponent:
+    """Provides the drains of the configuration in force to other components."""
 
     after: ClassVar[tuple[str, ...]] = ()
 
@@ -38,14 +38,16 @@
         node.configuration.subscribe(self._on_configuration)
 
     async def start(self) -> None:
-        """Do nothing; the drains follow the configuration."""
+        """Do nothing; the drains are updated by configuration changes."""
 
     async def stop(self) -> None:
         """Do nothing; there is nothing to release."""
 
-    def _on_configuration(self, in_force: InForce) -> None:
+    def _on_configuration(self, in_force: ServedConfiguration) -> None:
         if in_force.drains == self._drains.current:
             return
         self._drains.replace(in_force.drains)
-        named = ", ".join(f"{d.kind.value} {d.name}" for d in in_force.drains)
-        self._node.sink.emit(DrainsChanged(in_force.generation, named or "nothing"))
+        drained_names = ", ".join(f"{d.kind.value} {d.name}" for d in in_force.drains)
+        self._node.sink.emit(
+            DrainsChanged(in_force.generation, drained_names or "nothing")
+        )
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -1,4 +1,4 @@
-"""Policies: decisions without I/O or encoding of messages."""
+"""Decisions, kept apart from input, output and the encoding of messages."""
 
 from __future__ import annotations
 
--- a/testing/daemon/test_peer_streams.py
+++ b/testing/daemon/test_peer_streams.py
@@ -1,4 +1,4 @@
-"""Tests of the streams between daemons over loopback."""
+"""Tests of streams between daemons over loopback."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from sycamorenotch_daemon._peer_codec import MalformedFrameError
 from sycamorenotch_daemon._peer_codec import decode_message
 from sycamorenotch_daemon._peer_codec import encode_message
-from sycamorenotch_daemon._peer_greeting import prove
-from sycamorenotch_daemon._peer_greeting import proves
+from sycamorenotch_daemon._peer_greeting import make_proof
+from sycamorenotch_daemon._peer_greeting import verify_proof
 from sycamorenotch_daemon._peer_mesh import PeerMesh
 from sycamorenotch_kernel import ConfigurationRequest
 from sycamorenotch_kernel import Heartbeat
@@ -47,7 +47,7 @@
     return daemon.node.require(PeerMesh)
 
 
-def numbers(daemon: ControlDaemon) -> list[int]:
+def event_numbers(daemon: ControlDaemon) -> list[int]:
     return [event.number for event in daemon.sink.events]
 
 
@@ -66,7 +66,7 @@
     async def run() -> None:
         await first.start()
         await second.start()
-        mesh(first).aim({InstanceId("b"): second.node.settings.peers})
+        mesh(first).set_targets({InstanceId("b"): second.node.settings.peers})
         try:
             await scenario(first, second)
         finally:
@@ -80,11 +80,11 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(first: ControlDaemon, second: ControlDaemon) -> None:
-        heard: list[tuple[str, Heartbeat]] = []
-        mesh(second).handle(Heartbeat, lambda p, m: heard.append((p.instance, m)))
+        received: list[tuple[str, Heartbeat]] = []
+        mesh(second).handle(Heartbeat, lambda p, m: received.append((p.instance, m)))
         await until(lambda: mesh(first).send(InstanceId("b"), HEARTBEAT))
-        await until(lambda: bool(heard))
-        assert heard == [("a", HEARTBEAT)]
+        await until(lambda: bool(received))
+        assert received == [("a", HEARTBEAT)]
 
     run_pair(run_in_reactor, scenario)
 
@@ -93,7 +93,7 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(first: ControlDaemon, second: ControlDaemon) -> None:
-        await until(lambda: 4102 in numbers(first) + numbers(second))
+        await until(lambda: 4102 in event_numbers(first) + event_numbers(second))
         assert mesh(first).connected() == mesh(second).connected() == ()
 
     run_pair(run_in_reactor, scenario, (b"key", b"other"))
@@ -108,16 +108,16 @@
         b"\x00\x00\x00\x03" + msgpack.packb([1, 2]),
     ],
 )
-def test_daemon_goes_on_when_a_stranger_breaks_the_protocol(
+def test_daemon_keeps_serving_when_an_unauthenticated_client_violates_the_protocol(
     run_in_reactor: Callable[..., Any], attack: bytes
 ) -> None:
     async def scenario(first: ControlDaemon, second: ControlDaemon) -> None:
-        await until(lambda: mesh(second).has(InstanceId("a")))
+        await until(lambda: mesh(second).is_connected(InstanceId("a")))
         host, port = second.node.settings.peers.split(":")
         endpoint = TCP4ClientEndpoint(reactor, host, int(port))
-        stranger = await connectProtocol(endpoint, Protocol())
-        stranger.transport.write(attack)
-        await until(lambda: 4102 in numbers(second))
+        attacker = await connectProtocol(endpoint, Protocol())
+        attacker.transport.write(attack)
+        await until(lambda: 4102 in event_numbers(second))
         assert mesh(first).send(InstanceId("b"), HEARTBEAT)
 
     run_pair(run_in_reactor, scenario)
@@ -127,15 +127,15 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(first: ControlDaemon, second: ControlDaemon) -> None:
-        heard: list[Heartbeat] = []
-        mesh(second).handle(Heartbeat, lambda _, message: heard.append(message))
-        await until(lambda: mesh(first).has(InstanceId("b")))
+        received: list[Heartbeat] = []
+        mesh(second).handle(Heartbeat, lambda _, message: received.append(message))
+        await until(lambda: mesh(first).is_connected(InstanceId("b")))
         stream = mesh(first)._streams[InstanceId("b")][0]
         stream.sendString(msgpack.packb([1, ["malformed"]]))
         stream.sendString(msgpack.packb([60000, ["of a later version"]]))
         stream.send(HEARTBEAT)
-        await until(lambda: bool(heard))
-        assert numbers(second).count(4104) == 1
+        await until(lambda: bool(received))
+        assert event_numbers(second).count(4104) == 1
 
     run_pair(run_in_reactor, scenario)
 
@@ -145,26 +145,26 @@
 ) -> None:
     async def scenario(first: ControlDaemon, second: ControlDaemon) -> None:
         targets = {InstanceId("b"): second.node.settings.peers}
-        await until(lambda: mesh(first).has(InstanceId("b")))
+        await until(lambda: mesh(first).is_connected(InstanceId("b")))
         stream = mesh(first)._streams[InstanceId("b")][0]
         stream.transport.write(b"\x7f\xff\xff\xff")
-        await until(lambda: not mesh(first).has(InstanceId("b")))
-        assert 4102 in numbers(second)
+        await until(lambda: not mesh(first).is_connected(InstanceId("b")))
+        assert 4102 in event_numbers(second)
 
-        def again() -> bool:
-            mesh(first).aim(targets)
-            return mesh(first).has(InstanceId("b"))
+        def reconnected() -> bool:
+            mesh(first).set_targets(targets)
+            return mesh(first).is_connected(InstanceId("b"))
 
-        await until(again)
+        await until(reconnected)
 
     run_pair(run_in_reactor, scenario)
 
 
 def test_proof_is_refused_when_it_is_sent_back_to_its_author() -> None:
     mine, theirs = b"my greeting", b"their greeting"
-    own_proof = prove(b"key", True, mine, theirs)
-    assert proves(own_proof, b"key", False, theirs, mine)
-    assert not proves(own_proof, b"key", True, mine, theirs)
+    own_proof = make_proof(b"key", True, mine, theirs)
+    assert verify_proof(own_proof, b"key", False, theirs, mine)
+    assert not verify_proof(own_proof, b"key", True, mine, theirs)
 
 
 @given(
