--- a/packages/daemon/src/sycamorenotch_daemon/_admission_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_admission_stage.py
@@ -1,4 +1,4 @@
-"""Admits calls to the slots that this instance may use."""
+"""Admission control: admits calls to the slots that this instance may use."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 from sycamorenotch_policies import Ticket
 
 EXPIRY_INTERVAL_S = 0.05
-RECOUNT_INTERVAL_S = 1.0
+RESIZE_INTERVAL_S = 1.0
 
 OUTCOMES = {
     ErrorKind.UPSTREAM_SHED: Outcome.SHED,
@@ -49,8 +49,8 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class _Parts:
-    """What a discipline was built from; a change replaces it."""
+class _DisciplineInputs:
+    """Inputs of a discipline, which is built anew when one of them changes."""
 
     name: str
     ranks: tuple[RankPolicy, ...]
@@ -60,7 +60,11 @@
 @components.register("admission")
 @final
 class Admission:
-    """One discipline for each service, sized by the instance's grants."""
+    """Keeps one admission discipline for each service.
+
+    A discipline has as many slots as the grant of the instance, or an even
+    share of the usable capacity while there is no grant.
+    """
 
     after: ClassVar[tuple[str, ...]] = ("configuration", "upstreams")
 
@@ -70,36 +74,37 @@
         self._disciplines: dict[str, AdmissionDiscipline] = {}
         self._slots: dict[str, int] = {}
         self._granted: set[str] = set()
-        self._parts: dict[str, _Parts] = {}
-        self._holders: dict[str, AdmissionDiscipline] = {}
-        self._settled: dict[str, AdmissionDecision] = {}
+        self._inputs: dict[str, _DisciplineInputs] = {}
+        self._discipline_by_ticket: dict[str, AdmissionDiscipline] = {}
+        self._decided: dict[str, AdmissionDecision] = {}
         self._waiting: dict[str, Deferred[AdmissionDecision]] = {}
-        self._expiry = LoopingCall(self._expire)
-        self._recount = LoopingCall(self._resize_without_grants)
-        self._expiry.clock = self._recount.clock = node.reactor
+        self._expiry_timer = LoopingCall(self._expire)
+        self._resize_timer = LoopingCall(self._resize_without_grants)
+        self._expiry_timer.clock = self._resize_timer.clock = node.reactor
         node.provide(Admission, self)
         node.configuration.subscribe(self._on_configuration)
 
     async def start(self) -> None:
-        """Start to follow the number of live instances."""
-        self._recount.start(RECOUNT_INTERVAL_S)
+        """Start to update the shares when the number of live instances changes."""
+        self._resize_timer.start(RESIZE_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Stop every timer."""
-        for timer in (self._expiry, self._recount):
+        """Stop the timers."""
+        for timer in (self._expiry_timer, self._resize_timer):
             if timer.running:
                 timer.stop()
 
     def set_grant(self, service: str, slots: int) -> None:
-        """Use a grant in place of an even share of the usable capacity.
+        """Replace the even share of the usable capacity by a grant.
 
-        :param slots: requests of the service that may run at once here.
+        :param slots: maximum number of concurrent requests of the service at
+            this instance.
         """
         self._granted.add(service)
         self._resize(service, slots)
 
     async def wait(self, service: str, ticket: Ticket) -> AdmissionDecision:
-        """Return the final decision on a ticket.
+        """Wait until a ticket is admitted or refused.
 
         :raises CancelledError: if the wait is cancelled.
         """
@@ -108,20 +113,23 @@
         if isinstance(decision, Refused):
             return decision
         # A new configuration may replace the discipline before the release.
-        self._holders[ticket.id] = discipline
+        self._discipline_by_ticket[ticket.id] = discipline
         if isinstance(decision, Admitted):
             return decision
         return await self._wait_in_queue(ticket)
 
     def release(self, ticket: Ticket, latency: timedelta, outcome: Outcome) -> None:
-        """Free a slot and settle the tickets that this decides."""
+        """Free the slot of a ticket and decide the tickets that wait for it.
+
+        :param latency: time that the upstream took.
+        """
         now = self._node.clock.monotonic()
-        discipline = self._holders.pop(ticket.id)
-        self._settle(discipline.release(ticket, latency, outcome, now))
+        discipline = self._discipline_by_ticket.pop(ticket.id)
+        self._resolve(discipline.release(ticket, latency, outcome, now))
 
     async def _wait_in_queue(self, ticket: Ticket) -> AdmissionDecision:
-        if not self._expiry.running:
-            self._expiry.start(EXPIRY_INTERVAL_S, now=False)
+        if not self._expiry_timer.running:
+            self._expiry_timer.start(EXPIRY_INTERVAL_S, now=False)
         waiting: Deferred[AdmissionDecision] = Deferred()
         self._waiting[ticket.id] = waiting
         try:
@@ -129,42 +137,42 @@
         except CancelledError:
             self._cancel(ticket)
             raise
-        self._settled.pop(ticket.id)
+        self._decided.pop(ticket.id)
         if isinstance(decision, Refused):
-            del self._holders[ticket.id]
+            del self._discipline_by_ticket[ticket.id]
         return decision
 
     def _cancel(self, ticket: Ticket) -> None:
         self._waiting.pop(ticket.id, None)
-        settled = self._settled.pop(ticket.id, None)
-        if isinstance(settled, Admitted):
+        decided = self._decided.pop(ticket.id, None)
+        if isinstance(decided, Admitted):
             self.release(ticket, timedelta(), Outcome.CANCELLED)
             return
-        self._holders.pop(ticket.id).cancel(ticket)
+        self._discipline_by_ticket.pop(ticket.id).cancel(ticket)
 
-    def _settle(self, decisions: AdmissionDecisions) -> None:
+    def _resolve(self, decisions: AdmissionDecisions) -> None:
         for decision in decisions:
             waiting = self._waiting.pop(decision.ticket.id)
-            self._settled[decision.ticket.id] = decision
-            # Deciding from the loop keeps the stack flat when one release
-            # leads to the next.
-            self._node.reactor.callLater(0, _fire, waiting, decision)
+            self._decided[decision.ticket.id] = decision
+            # Resuming the waiter from the event loop bounds the stack depth
+            # when one release leads to the next.
+            self._node.reactor.callLater(0, _resume, waiting, decision)
 
     def _expire(self) -> None:
         now = self._node.clock.monotonic()
-        for discipline in dict.fromkeys(self._holders.values()):
-            self._settle(discipline.expire(now))
+        for discipline in dict.fromkeys(self._discipline_by_ticket.values()):
+            self._resolve(discipline.expire(now))
         if not self._waiting:
-            self._expiry.stop()
+            self._expiry_timer.stop()
 
     def _on_configuration(self, in_force: InForce) -> None:
         environment = in_force.environment
         name = environment.policies["admission"]
         for service in environment.services.values():
-            parts = _Parts(name, tuple(environment.ranks.values()), service)
-            if self._parts.get(service.name) == parts:
+            inputs = _DisciplineInputs(name, tuple(environment.ranks.values()), service)
+            if self._inputs.get(service.name) == inputs:
                 continue
-            self._parts[service.name] = parts
+            self._inputs[service.name] = inputs
             setup = AdmissionSetup(
                 slots=self._slots.get(service.name, 0),
                 ranks=environment.ranks,
@@ -179,16 +187,22 @@
             self._resize(service, self._even_share(service))
 
     def _even_share(self, service: str) -> int:
-        """Return this instance's part of the slots that are near it."""
+        """Return the even share of this instance in the usable slots.
+
+        The slots are those of its own region, or those of every region if the
+        service has no worker there.
+        """
         choice = self._upstreams.choice(service)
         if choice is None:
             return 0
         region = self._node.settings.region
-        near = choice.table.deployed_in(region)
-        users = self._upstreams.live_instances(region if near else None)
-        slots = choice.table.usable_slots(region if near else None)
-        # One slot stays, so that a service is never refused by the share alone.
-        return max(1, slots // users)
+        has_local_workers = choice.table.deployed_in(region)
+        instances = self._upstreams.live_instances(
+            region if has_local_workers else None
+        )
+        slots = choice.table.usable_slots(region if has_local_workers else None)
+        # At least one slot, so that a small share alone never refuses every call.
+        return max(1, slots // instances)
 
     def _resize(self, service: str, slots: int) -> None:
         if self._slots.get(service) == slots:
@@ -198,13 +212,13 @@
         discipline = self._disciplines.get(service)
         if discipline is not None:
             now = self._node.clock.monotonic()
-            self._settle(discipline.resize(slots, now))
+            self._resolve(discipline.resize(slots, now))
 
 
 @call_stages.register("admission")
 @final
 class AdmissionStage:
-    """Waits for a slot, runs the call and frees the slot."""
+    """Runs each call in a slot of its service."""
 
     after: ClassVar[tuple[str, ...]] = ("quarantine",)
 
@@ -213,12 +227,12 @@
         self._admission = node.require(Admission)
 
     async def run(self, call: Call, proceed: Proceed) -> CallResult:
-        """Refuse the call, or run it in a slot."""
+        """Wait for a slot and run the call in it, or refuse the call."""
         ticket = Ticket(call.id, call.rank, call.deadline)
         try:
             decision = await self._admission.wait(call.route.service, ticket)
         except CancelledError:
-            detail = "the caller went away before the call was sent"
+            detail = "the caller disconnected before the call was sent"
             return Error(Failure(ErrorKind.CANCELLED, detail, Ran.NO))
         if isinstance(decision, Refused):
             return self._refuse(call, decision.failure)
@@ -246,6 +260,6 @@
     return OUTCOMES.get(result.error.kind, Outcome.FAILED)
 
 
-def _fire(waiting: Deferred[AdmissionDecision], decision: AdmissionDecision) -> None:
+def _resume(waiting: Deferred[AdmissionDecision], decision: AdmissionDecision) -> None:
     if not waiting.called:
         waiting.callback(decision)
--- a/packages/daemon/src/sycamorenotch_daemon/_background.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_background.py
@@ -1,4 +1,4 @@
-"""Background turns whose failures are events."""
+"""Periodic background tasks whose failures are emitted as events."""
 
 from __future__ import annotations
 
@@ -18,14 +18,17 @@
 @final
 @dataclass(frozen=True, slots=True)
 class TurnFailed(Event):
-    """A component's turn raised an exception; the next turn comes as usual."""
+    """A run of a periodic task raised an exception; the next runs as scheduled."""
 
     turn: str
     error: str
 
 
 def background(reactor: Any, sink: EventSink, turn: Turn) -> Background:
-    """Return a sequence of turns that reports failures to a sink."""
+    """Return a periodic task that emits an event when a run fails.
+
+    :param turn: function of one run, which returns the delay until the next.
+    """
     return Background(
         reactor, turn, lambda name, error: sink.emit(TurnFailed(name, error))
     )
--- a/packages/daemon/src/sycamorenotch_daemon/_breaker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_breaker.py
@@ -11,94 +11,103 @@
 
 from sycamorenotch_kernel import Clock
 
-FAILURES_TO_OPEN = 5
-SHORTEST_COOL_DOWN = timedelta(seconds=1)
-LONGEST_COOL_DOWN = timedelta(seconds=4)
+FAILURE_THRESHOLD = 5
+MIN_COOL_DOWN = timedelta(seconds=1)
+MAX_COOL_DOWN = timedelta(seconds=4)
 
 
-class BreakerLife(Protocol):
-    """Inputs of the breaker's machine."""
+class BreakerInputs(Protocol):
+    """Inputs of the breaker's state machine."""
 
     def admits(self) -> bool:
         """Return whether a call may be made now."""
 
     def recover(self) -> bool:
-        """Take note of an answer; return whether the breaker closed."""
+        """Close the breaker.
+
+        :return: whether it was open or half open.
+        """
 
     def trip(self) -> bool:
-        """Take note of many failures; return whether the breaker was closed."""
+        """Open the breaker.
+
+        :return: whether it was closed.
+        """
 
-    def cool(self) -> None:
-        """Take note that a cool-down is over."""
+    def end_cool_down(self) -> None:
+        """End a cool-down: an open breaker becomes half open."""
 
 
-def _machine() -> TypeMachineBuilder[BreakerLife, None]:
-    builder = TypeMachineBuilder(BreakerLife, type(None))
+def _machine_builder() -> TypeMachineBuilder[BreakerInputs, None]:
+    builder = TypeMachineBuilder(BreakerInputs, type(None))
     closed = builder.state("closed")
     opened = builder.state("open")
     half_open = builder.state("half open")
     probing = builder.state("probing")
-    closed.upon(BreakerLife.admits).loop().returns(True)
-    opened.upon(BreakerLife.admits).loop().returns(False)
-    half_open.upon(BreakerLife.admits).to(probing).returns(True)
-    probing.upon(BreakerLife.admits).loop().returns(False)
-    closed.upon(BreakerLife.recover).loop().returns(False)
+    closed.upon(BreakerInputs.admits).loop().returns(True)
+    opened.upon(BreakerInputs.admits).loop().returns(False)
+    half_open.upon(BreakerInputs.admits).to(probing).returns(True)
+    probing.upon(BreakerInputs.admits).loop().returns(False)
+    closed.upon(BreakerInputs.recover).loop().returns(False)
     for state in (opened, half_open, probing):
-        state.upon(BreakerLife.recover).to(closed).returns(True)
-    closed.upon(BreakerLife.trip).to(opened).returns(True)
+        state.upon(BreakerInputs.recover).to(closed).returns(True)
+    closed.upon(BreakerInputs.trip).to(opened).returns(True)
     for state in (opened, half_open, probing):
-        state.upon(BreakerLife.trip).to(opened).returns(False)
-    closed.upon(BreakerLife.cool).loop().returns(None)
-    # A probe may be a long watch, so that another cool-down allows another.
+        state.upon(BreakerInputs.trip).to(opened).returns(False)
+    closed.upon(BreakerInputs.end_cool_down).loop().returns(None)
+    # A probe may be a long watch, so that each cool-down allows another probe.
     for state in (opened, half_open, probing):
-        state.upon(BreakerLife.cool).to(half_open).returns(None)
+        state.upon(BreakerInputs.end_cool_down).to(half_open).returns(None)
     return builder
 
 
-_BUILD = _machine().build()
+_CREATE_MACHINE = _machine_builder().build()
 
 
 @final
 class Breaker:
-    """Refuses calls while the store fails, and probes it now and then.
+    """Refuses calls while the store fails, with one probe for each cool-down.
 
-    :param random: spreads the probes of the daemons.
+    :param random: source of the jitter that spreads the probes of the instances.
     """
 
     def __init__(self, clock: Clock, random: Random) -> None:
         self._clock = clock
         self._random = random
         self._failures = 0
-        self._cool_at = timedelta()
-        self._life = _BUILD(None)
+        self._cool_down_ends_at = timedelta()
+        self._state_machine = _CREATE_MACHINE(None)
 
     def admits(self) -> bool:
-        """Return whether a call may be made now."""
+        """Return whether a call may be made now.
+
+        The first call allowed after a cool-down is a probe.
+        """
         now = self._clock.monotonic()
-        if now >= self._cool_at:
-            self._life.cool()
-            self._cool_at = now + self._cool_down()
-        return self._life.admits()
+        if now >= self._cool_down_ends_at:
+            self._state_machine.end_cool_down()
+            self._cool_down_ends_at = now + self._cool_down()
+        return self._state_machine.admits()
 
     def succeeded(self) -> bool:
-        """Take note of a call that the store answered.
+        """Record a call that the store answered.
 
         :return: whether the breaker closed.
         """
         self._failures = 0
-        return self._life.recover()
+        return self._state_machine.recover()
 
     def failed(self) -> bool:
-        """Take note of a failed call.
+        """Record a failed call.
 
         :return: whether the breaker opened.
         """
         self._failures += 1
-        if self._failures < FAILURES_TO_OPEN:
+        if self._failures < FAILURE_THRESHOLD:
             return False
-        self._cool_at = self._clock.monotonic() + self._cool_down()
-        return self._life.trip()
+        self._cool_down_ends_at = self._clock.monotonic() + self._cool_down()
+        return self._state_machine.trip()
 
     def _cool_down(self) -> timedelta:
-        spread = LONGEST_COOL_DOWN - SHORTEST_COOL_DOWN
-        return SHORTEST_COOL_DOWN + self._random.random() * spread
+        spread = MAX_COOL_DOWN - MIN_COOL_DOWN
+        return MIN_COOL_DOWN + self._random.random() * spread
--- a/packages/daemon/src/sycamorenotch_daemon/_call_events.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_call_events.py
@@ -1,4 +1,4 @@
-"""Events about single calls."""
+"""Events of single calls."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class AdmissionRefused(Event):
-    """A call was refused before it ran, because its service has no room."""
+    """Admission control refused a call before it was sent to a worker."""
 
     decision: str
     service: str
@@ -27,7 +27,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class GrantChanged(Event):
-    """The instance may use another number of slots of a service."""
+    """The number of slots of a service that the instance may use changed."""
 
     service: str
     slots: int
@@ -37,7 +37,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class RetryScheduled(Event):
-    """A failed attempt is repeated after a delay."""
+    """A failed attempt will be retried after a delay."""
 
     decision: str
     attempt: int
@@ -49,7 +49,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class RetryRefused(Event):
-    """A failed attempt is not repeated."""
+    """A failed attempt will not be retried."""
 
     decision: str
     attempt: int
@@ -61,7 +61,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class QuarantineRefused(Event):
-    """A call was refused because the same request has lost several workers."""
+    """A call was refused because its request is in quarantine."""
 
     decision: str
     signature: str
@@ -72,7 +72,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class QuarantineEntered(Event):
-    """A request has lost several workers and is held back from now on."""
+    """A request was quarantined after several workers failed while running it."""
 
     decision: str
     signature: str
@@ -83,7 +83,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class HealthReportMissing(Event):
-    """A worker gave no valid report; its last one loses weight with age."""
+    """A worker returned no valid report; its last one loses weight with age."""
 
     worker: str
     reason: str
--- a/packages/daemon/src/sycamorenotch_daemon/_callers.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_callers.py
@@ -1,4 +1,4 @@
-"""The callers' front end: look-ups, calls, health and metrics."""
+"""HTTP front end for callers: look-ups, calls, health and metrics."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 from sycamorenotch_kernel import front_ends
 from sycamorenotch_transport import HttpListener
 
-MAXIMUM_TIMEOUT = timedelta(hours=1)
-IDEMPOTENCY_KEY = re.compile(r"[A-Za-z0-9._~:-]{1,128}")
-# A reactor may run a delayed call slightly before its time by another clock.
+MAX_TIMEOUT = timedelta(hours=1)
+IDEMPOTENCY_KEY_PATTERN = re.compile(r"[A-Za-z0-9._~:-]{1,128}")
+# A reactor may run a delayed call slightly early by the monotonic clock.
 CLOCK_TOLERANCE = timedelta(milliseconds=50)
-TIMEOUT_SECONDS = re.compile(r"[0-9]{1,6}(?:\.[0-9]{1,6})?")
+TIMEOUT_S_PATTERN = re.compile(r"[0-9]{1,6}(?:\.[0-9]{1,6})?")
 
 
 @components.register("callers")
@@ -54,7 +54,7 @@
     def __init__(self, node: Node) -> None:
         self._node = node
         self._calls = node.require(CallPath)
-        self._page = node.require(MetricsPage)
+        self._metrics_page = node.require(MetricsPage)
         self._lookups = Lookups(node)
         settings = node.settings
         self._listener = HttpListener(
@@ -65,11 +65,14 @@
         )
 
     async def start(self) -> None:
-        """Listen for callers."""
+        """Start to listen for callers."""
         await self._listener.start(self.app.resource())
 
     async def stop(self) -> None:
-        """Serve until look-up answers have run out, then finish and close."""
+        """Serve until cached look-up answers expire, then drain and close.
+
+        Waits at most for the drain bound of the configuration.
+        """
         current = self._node.configuration.current
         if current is None:
             await self._listener.stop(timedelta())
@@ -77,15 +80,15 @@
         bounds = current.environment.bounds
         started = self._node.clock.monotonic()
         if self._node.linger:
-            # Callers may use this instance as long as they cache an answer.
+            # Callers may use this instance for as long as they cache an answer.
             linger = min(bounds.answer_lifetime, bounds.drain)
             await deferLater(self._node.reactor, linger.total_seconds())
         elapsed = self._node.clock.monotonic() - started
         unfinished = await self._listener.stop(bounds.drain - elapsed)
         elapsed = self._node.clock.monotonic() - started
-        kept = unfinished == 0 or elapsed >= bounds.drain - CLOCK_TOLERANCE
+        within_bound = unfinished == 0 or elapsed >= bounds.drain - CLOCK_TOLERANCE
         detail = f"{unfinished} requests open after {elapsed.total_seconds():.3f} s"
-        self._node.invariants.holds(Invariant.I8, kept, detail)
+        self._node.invariants.holds(Invariant.I8, within_bound, detail)
 
     @app.route("/healthz", methods=["GET"])
     def _health(self, req: Request) -> bytes:
@@ -103,7 +106,7 @@
     @app.route("/metrics", methods=["GET"])
     def _metrics(self, req: Request) -> bytes:
         accept = req.requestHeaders.getRawHeaders("Accept") or []
-        body, headers = self._page.render(accept)
+        body, headers = self._metrics_page.render(accept)
         for name, value in headers.items():
             req.setHeader(name, value)
         return body
@@ -122,7 +125,7 @@
             result = await self._calls.run(parsed.ok)
         except Exception as exc:
             self._node.sink.emit(FrontEndFailed(decision, type(exc).__name__))
-            failure = Failure(ErrorKind.INTERNAL, "see the log of the instance")
+            failure = Failure(ErrorKind.INTERNAL, "see the log of this instance")
             return write_problem(req, failure, decision)
         if req.finished or req._disconnected:
             return NOT_DONE_YET
@@ -152,7 +155,7 @@
         key = _idempotency_key(req, route)
         if key.is_error():
             return Error(key.error)
-        timeout = _timeout(req, environment.ranks[route.rank].deadline)
+        timeout = _request_timeout(req, environment.ranks[route.rank].deadline)
         if timeout.is_error():
             return Error(timeout.error)
         return Ok(
@@ -161,7 +164,7 @@
                 route=route,
                 method=method,
                 path=path,
-                headers=_headers(req),
+                headers=_forwarded_headers(req),
                 body=req.content.read(),
                 client=req.getClientAddress().host,
                 key=key.ok,
@@ -171,15 +174,15 @@
         )
 
 
-def _headers(req: Request) -> tuple[tuple[str, str], ...]:
+def _forwarded_headers(req: Request) -> tuple[tuple[str, str], ...]:
     raw = req.requestHeaders.getAllRawHeaders()
     pairs = (
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, values in raw
         for value in values
     )
-    own = ("idempotency-key", "request-timeout", "request-id")
-    return tuple((n, v) for n, v in end_to_end(pairs) if n.lower() not in own)
+    consumed = ("idempotency-key", "request-timeout", "request-id")
+    return tuple((n, v) for n, v in end_to_end(pairs) if n.lower() not in consumed)
 
 
 def _raw_values(req: Request, name: bytes) -> list[str]:
@@ -191,28 +194,28 @@
     values = _raw_values(req, b"Idempotency-Key")
     if not values and route.idempotent:
         return Ok(None)
-    if len(values) != 1 or IDEMPOTENCY_KEY.fullmatch(values[0]) is None:
+    if len(values) != 1 or IDEMPOTENCY_KEY_PATTERN.fullmatch(values[0]) is None:
         accepted = "1 to 128 letters, digits or any of . _ ~ : -"
-        detail = f"exactly one key is needed, of {accepted}"
+        detail = f"exactly one Idempotency-Key is required, of {accepted}"
         return Error(Failure(ErrorKind.BAD_IDEMPOTENCY_KEY, detail))
     return Ok(values[0])
 
 
-def _timeout(req: Request, default: timedelta) -> Result[timedelta, Failure]:
+def _request_timeout(req: Request, default: timedelta) -> Result[timedelta, Failure]:
     values = _raw_values(req, b"Request-Timeout")
     if not values:
         return Ok(default)
-    well_formed = len(values) == 1 and TIMEOUT_SECONDS.fullmatch(values[0])
+    well_formed = len(values) == 1 and TIMEOUT_S_PATTERN.fullmatch(values[0])
     timeout = timedelta(seconds=float(values[0])) if well_formed else timedelta()
-    if not timedelta() < timeout <= MAXIMUM_TIMEOUT:
-        detail = "seconds as a decimal, greater than 0 and at most 3600"
+    if not timedelta() < timeout <= MAX_TIMEOUT:
+        detail = "expected decimal seconds, greater than 0 and at most 3600"
         return Error(Failure(ErrorKind.BAD_TIMEOUT, detail))
     return Ok(timeout)
 
 
 def _write_answer(req: Request, answer: CallAnswer, decision: DecisionId) -> bytes:
     req.setResponseCode(answer.status)
-    # The server sets a date and a name of its own, which the upstream's replace.
+    # Headers of the upstream replace the server's defaults, such as Date.
     for name, _ in answer.headers:
         req.responseHeaders.removeHeader(name)
     for name, value in answer.headers:
--- a/packages/daemon/src/sycamorenotch_daemon/_calls.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_calls.py
@@ -1,4 +1,4 @@
-"""Takes a call through the registered stages and records the decision."""
+"""Runs a call through the registered stages and records the decision."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 @components.register("calls")
 @final
 class CallPath:
-    """The stages of a call, in order."""
+    """Runs calls through the registered stages, ordered by their dependencies."""
 
     after: ClassVar[tuple[str, ...]] = ("instances", "upstreams", "admission", "claims")
 
@@ -40,31 +40,37 @@
         self.in_flight = 0
         self._observers: list[CallObserver] = []
         stages = [stage(node) for stage in ordered(call_stages)]
-        self._first = reduce(_chain, reversed(stages), _unanswered)
+        self._run_stages = reduce(_chain, reversed(stages), _fail_unanswered)
         node.provide(CallPath, self)
 
     async def start(self) -> None:
-        """Do nothing; stages are started by their own components."""
+        """Do nothing, since the components that own the stages start them."""
 
     async def stop(self) -> None:
-        """Do nothing; front ends finish the calls in flight."""
+        """Do nothing, since the front ends wait for the calls in flight."""
 
     async def run(self, call: Call) -> CallResult:
-        """Run one call and record what was decided."""
+        """Run one call and record its decision.
+
+        :return: the answer of the upstream, or the failure of the call.
+        """
         self.in_flight += 1
-        started = self._node.clock.monotonic()
+        started_at = self._node.clock.monotonic()
         try:
-            result = await self._first(call)
+            result = await self._run_stages(call)
         finally:
             self.in_flight -= 1
-        latency = self._node.clock.monotonic() - started
+        latency = self._node.clock.monotonic() - started_at
         for observer in self._observers:
             observer(call, result, latency)
         self._record(call, result)
         return result
 
     def observe(self, observer: CallObserver) -> None:
-        """Call a function with each finished call, its result and latency."""
+        """Register a function to be called with each finished call.
+
+        :param observer: receives the call, its result and its latency.
+        """
         self._observers.append(observer)
 
     def _record(self, call: Call, result: CallResult) -> None:
@@ -102,5 +108,5 @@
     return run
 
 
-async def _unanswered(call: Call) -> CallResult:
+async def _fail_unanswered(call: Call) -> CallResult:
     return Error(Failure(ErrorKind.NO_UPSTREAM, "no stage answered the call"))
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_codec.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_codec.py
@@ -1,4 +1,4 @@
-"""Claims as msgpack, validated when they are read."""
+"""Encodes claims as msgpack and validates them when they are read."""
 
 from __future__ import annotations
 
@@ -51,9 +51,9 @@
     @model_validator(mode="after")
     def _check(self) -> _ClaimModel:
         if self.format != CLAIM_FORMAT:
-            raise ValueError(f"claim format {self.format} is not known")
+            raise ValueError(f"unknown claim format {self.format}")
         if (self.state is ClaimState.DONE) != (self.answer is not None):
-            raise ValueError("an answer belongs to a claim that is done")
+            raise ValueError("a claim has an answer exactly if its state is done")
         return self
 
 
@@ -65,7 +65,7 @@
 def claim_place(service: str, key: str) -> tuple[str, str]:
     """Return the object kind and name of the claim for a key.
 
-    :param key: idempotency key, which belongs to the service.
+    :param key: idempotency key, unique within the service.
     """
     digest = hashlib.sha256(f"{service}\n{key}".encode()).hexdigest()
     shard = int(digest[:SHARD_DIGITS], 16)
@@ -93,12 +93,12 @@
 def decode_claim(value: bytes) -> Result[Claim, str]:
     """Validate the stored form of a claim.
 
-    :return: the claim, or what is wrong with it.
+    :return: the claim, or a description of the error.
     """
     try:
         model = _ClaimModel.model_validate(msgpack.unpackb(value))
     except (ValidationError, ValueError, msgpack.UnpackException) as exc:
-        return Error(f"the claim is not valid: {type(exc).__name__}")
+        return Error(f"invalid claim: {type(exc).__name__}")
     answer = model.answer
     return Ok(
         Claim(
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_collector.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_collector.py
@@ -1,4 +1,4 @@
-"""Removes claims that are past their lifetime, a few at a time."""
+"""Removes expired claims from the store, a few at a time."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 from sycamorenotch_policies import Claim
 from sycamorenotch_policies import ClaimExpiry
 
-TURN_INTERVAL = timedelta(seconds=5)
-CALL_TIMEOUT = timedelta(seconds=2)
-MAXIMUM_REMOVALS = 10
+RUN_INTERVAL = timedelta(seconds=5)
+STORE_TIMEOUT = timedelta(seconds=2)
+MAX_REMOVALS = 10
 
 
 @components.register("claim-collector")
 @final
 class ClaimCollector:
-    """Lists one shard of the claims in each turn, at the holder of the lease.
+    """Collects expired claims, one shard in each run, at the lease holder.
 
-    Two holders at once would do no harm, because a claim is removed on the
-    condition of its version.
+    Two holders at the same time are harmless, because a claim is only removed
+    if its version matches.
     """
 
     after: ClassVar[tuple[str, ...]] = ("lease",)
@@ -40,12 +40,13 @@
         self._lease = node.require(PlanLease)
         self._expiry = ClaimExpiry(node.settings.instance)
         self._loop = background(node.reactor, node.sink, self._turn)
-        # A new holder does not begin where every other one began.
+        # Starts at a random shard, so that frequent changes of the holder do
+        # not keep collecting the same shards.
         self._shard = node.random.randrange(SHARD_COUNT)
 
     async def start(self) -> None:
-        """Start to collect."""
-        self._loop.start(TURN_INTERVAL)
+        """Start to collect expired claims periodically."""
+        self._loop.start(RUN_INTERVAL)
 
     async def stop(self) -> None:
         """Stop collecting."""
@@ -54,26 +55,26 @@
     async def _turn(self) -> timedelta:
         if self._lease.is_held():
             await self._collect(claim_kind(self._shard))
-        return TURN_INTERVAL * (0.8 + 0.4 * self._node.random.random())
+        return RUN_INTERVAL * (0.8 + 0.4 * self._node.random.random())
 
     async def _collect(self, kind: str) -> None:
-        listed = await self._node.store.list(kind, CALL_TIMEOUT)
+        listed = await self._node.store.list(kind, STORE_TIMEOUT)
         if listed.is_error():
             return
         decoded = [(stored, decode_claim(stored.value)) for stored in listed.ok]
         claims = [(stored, item.ok) for stored, item in decoded if item.is_ok()]
         self._expiry.observe(claim for _, claim in claims)
         removed = 0
-        for stored in islice(self._expired(claims), MAXIMUM_REMOVALS):
-            gone = await self._node.store.delete(
-                kind, stored.name, stored.version, CALL_TIMEOUT
+        for stored in islice(self._expired(claims), MAX_REMOVALS):
+            deleted = await self._node.store.delete(
+                kind, stored.name, stored.version, STORE_TIMEOUT
             )
-            if gone.is_error():
+            if deleted.is_error():
                 return
             removed += 1
         if removed:
             self._node.sink.emit(ClaimsCollected(kind, len(listed.ok), removed))
-        if removed < MAXIMUM_REMOVALS:
+        if removed < MAX_REMOVALS:
             self._shard = (self._shard + 1) % SHARD_COUNT
 
     def _expired(self, claims: list[tuple[StoredObject, Claim]]) -> list[StoredObject]:
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_events.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_events.py
@@ -1,4 +1,4 @@
-"""Events of the claims of idempotency keys."""
+"""Events of claims on idempotency keys."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimHeld(Event):
-    """An attempt holds the claim for its key and hands its request on."""
+    """An attempt holds the claim for its key, and its request is dispatched."""
 
     decision: str
     attempt: str
@@ -34,7 +34,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimAnswered(Event):
-    """A request was answered from a claim or refused without being handed on."""
+    """A request was answered from a claim or refused without being dispatched."""
 
     decision: str
     outcome: str
@@ -44,9 +44,9 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimSettleDeferred(Event):
-    """The store did not confirm the last state of a claim; it is tried again.
+    """The store did not confirm the final state of a claim; the write is retried.
 
-    Until then a repeat of the request is answered with ``ran: unknown``.
+    Until it succeeds, a repeat of the request is answered with ``ran: unknown``.
     """
 
     attempt: str
@@ -58,10 +58,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimSettleDropped(Event):
-    """The last state of a claim was never recorded.
+    """The final state of a claim was never recorded.
 
     A repeat of the request is answered with ``ran: unknown`` for the lifetime
-    of the key; a person has to find out at the upstream whether it ran.
+    of the key; an operator must check at the upstream whether it ran.
     """
 
     attempt: str
@@ -73,7 +73,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimUnreadableFound(Event):
-    """A stored claim is not valid; requests with its key are refused."""
+    """A stored claim is invalid; requests with its key are refused."""
 
     decision: str
     detail: str
@@ -83,7 +83,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimsCollected(Event):
-    """Claims past their lifetime were removed from one shard."""
+    """Expired claims were removed from one shard."""
 
     kind: str
     found: int
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_settler.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_settler.py
@@ -1,4 +1,4 @@
-"""Writes the last states of claims that the store did not confirm at once."""
+"""Writes the final states of claims, with retries while the store fails."""
 
 from __future__ import annotations
 
@@ -30,35 +30,36 @@
 from sycamorenotch_policies import ClaimWriteLost
 from sycamorenotch_policies import ClaimWritten
 
-MAXIMUM_ENTRIES = 512
-MAXIMUM_BODY_BYTES = 4 * 1024 * 1024
-CALL_TIMEOUT = timedelta(seconds=2)
-FIRST_DELAY = timedelta(milliseconds=100)
-MAXIMUM_DELAY = timedelta(seconds=30)
-MAXIMUM_DOUBLINGS = 10
+MAX_WAITING = 512
+MAX_BODY_BYTES = 4 * 1024 * 1024
+STORE_TIMEOUT = timedelta(seconds=2)
+MIN_DELAY = timedelta(milliseconds=100)
+MAX_DELAY = timedelta(seconds=30)
+MAX_DOUBLINGS = 10
 
-# A write whose answer was lost can still take effect after it was not found.
-LATE_WRITE_HORIZON = timedelta(seconds=60)
+# A write whose answer was lost can take effect after a read missed it.
+LATE_WRITE_WINDOW = timedelta(seconds=60)
 
 
 @final
 @dataclass(slots=True)
 class Settlement:
-    """The last state of an attempt's claim, on its way to the store.
+    """Final state of an attempt's claim that is not yet stored.
 
-    :param expected: version to replace; none if it has to be read.
-    :param since: moment on the monotonic clock.
+    :param expected: version to replace; none if it must be read first.
+    :param created_at: time of creation on the monotonic clock.
+    :param detail: reason why the store has not confirmed the state.
     """
 
-    place: ClaimObject
+    handle: ClaimObject
     claim: Claim
     expected: Version | None
-    since: timedelta
+    created_at: timedelta
     detail: str = ""
 
     @property
     def body_bytes(self) -> int:
-        """Memory that the recorded body takes, in bytes."""
+        """Size of the recorded body, in bytes."""
         answer = self.claim.answer
         return 0 if answer is None or answer.body is None else len(answer.body)
 
@@ -66,10 +67,10 @@
 @components.register("claims")
 @final
 class ClaimSettler:
-    """Records outcomes and releases claims, also after the caller's answer.
+    """Records outcomes and releases claims, if need be after the caller's answer.
 
-    Every settlement replaces a claim that is still held by the same attempt,
-    so that it can be repeated without harm.
+    A settlement only replaces a claim that the same attempt still holds, so
+    that it can safely be repeated.
     """
 
     after: ClassVar[tuple[str, ...]] = ()
@@ -87,27 +88,31 @@
         return len(self._waiting)
 
     async def start(self) -> None:
-        """Do nothing; the loop runs while settlements wait."""
+        """Do nothing, since the loop starts with the first deferred settlement."""
 
     async def stop(self) -> None:
-        """Try each waiting settlement once more."""
+        """Retry each waiting settlement once and drop those that fail."""
         if self._loop is not None:
             self._loop.cancel()
-        await self._pass()
+        await self._retry_waiting()
         for settlement in self._waiting.values():
-            self._report_dropped(settlement, "the instance stops")
+            self._report_dropped(settlement, "the instance is stopping")
         self._waiting.clear()
 
     async def settle(
         self,
-        place: ClaimObject,
+        handle: ClaimObject,
         claim: Claim,
         expected: Version | None,
         timeout: timedelta,
     ) -> None:
-        """Settle a claim now if the store confirms it in time, or else later."""
+        """Settle a claim, or defer it if the store does not confirm it in time.
+
+        :param expected: version to replace; none if it must be read first.
+        :param timeout: maximum time to wait for the store.
+        """
         now = self._node.clock.monotonic()
-        settlement = Settlement(place, claim, expected, now)
+        settlement = Settlement(handle, claim, expected, now)
         finished = False
         try:
             finished = timeout > timedelta() and await self._attempt(
@@ -119,11 +124,13 @@
                 self._defer(settlement)
 
     def settle_later(
-        self, place: ClaimObject, claim: Claim, expected: Version | None
+        self, handle: ClaimObject, claim: Claim, expected: Version | None
     ) -> None:
-        """Settle a claim whose caller has gone."""
+        """Settle the claim of an interrupted call in the background."""
         now = self._node.clock.monotonic()
-        self._defer(Settlement(place, claim, expected, now, "the call was interrupted"))
+        self._defer(
+            Settlement(handle, claim, expected, now, "the call was interrupted")
+        )
 
     def _defer(self, settlement: Settlement) -> None:
         claim = settlement.claim
@@ -131,17 +138,15 @@
         self._node.sink.emit(
             ClaimSettleDeferred(claim.attempt, claim.state.value, settlement.detail)
         )
-        self._drop_past_bounds()
+        self._enforce_limits()
         if self._loop is None:
-            self._loop = Deferred.fromCoroutine(self._run())
+            self._loop = Deferred.fromCoroutine(self._retry_loop())
             self._loop.addErrback(_ignore_cancelled)
 
-    def _drop_past_bounds(self) -> None:
-        while len(self._waiting) > MAXIMUM_ENTRIES or self._body_bytes() > (
-            MAXIMUM_BODY_BYTES
-        ):
+    def _enforce_limits(self) -> None:
+        while len(self._waiting) > MAX_WAITING or self._body_bytes() > (MAX_BODY_BYTES):
             _, oldest = self._waiting.popitem(last=False)
-            self._report_dropped(oldest, "too many settlements wait")
+            self._report_dropped(oldest, "too many settlements are waiting")
 
     def _body_bytes(self) -> int:
         return sum(item.body_bytes for item in self._waiting.values())
@@ -152,25 +157,25 @@
             ClaimSettleDropped(claim.attempt, claim.state.value, detail)
         )
 
-    async def _run(self) -> None:
+    async def _retry_loop(self) -> None:
         try:
             while self._waiting:
                 await deferLater(self._node.reactor, self._delay().total_seconds())
-                await self._pass()
+                await self._retry_waiting()
         finally:
             self._loop = None
 
     def _delay(self) -> timedelta:
-        growth: int = 2 ** min(self._failures, MAXIMUM_DOUBLINGS)
-        longest = min(FIRST_DELAY * growth, MAXIMUM_DELAY)
-        return FIRST_DELAY + longest * self._node.random.random()
+        growth: int = 2 ** min(self._failures, MAX_DOUBLINGS)
+        jitter_range = min(MIN_DELAY * growth, MAX_DELAY)
+        return MIN_DELAY + jitter_range * self._node.random.random()
 
-    async def _pass(self) -> None:
+    async def _retry_waiting(self) -> None:
         for attempt in tuple(self._waiting):
             settlement = self._waiting.get(attempt)
             if settlement is None:
                 continue
-            if await self._attempt(settlement, CALL_TIMEOUT):
+            if await self._attempt(settlement, STORE_TIMEOUT):
                 self._waiting.pop(attempt, None)
                 self._failures = 0
             else:
@@ -178,12 +183,17 @@
                 return
 
     async def _attempt(self, settlement: Settlement, timeout: timedelta) -> bool:
-        """Return whether the settlement is finished."""
-        if settlement.expected is None and not await self._locate(settlement, timeout):
+        """Try to store a settlement.
+
+        :return: whether the settlement is finished.
+        """
+        if settlement.expected is None and not await self._read_version(
+            settlement, timeout
+        ):
             return False
         if settlement.expected is None:
             return True
-        outcome = await settlement.place.write(
+        outcome = await settlement.handle.write(
             settlement.claim, settlement.expected, timeout
         )
         if isinstance(outcome, ClaimWritten):
@@ -191,33 +201,36 @@
             self._node.sink.emit(ClaimSettled(claim.attempt, claim.state.value))
             return True
         if isinstance(outcome, ClaimFound):
-            return not self._take_version(settlement, outcome)
+            return not self._set_expected_version(settlement, outcome)
         if isinstance(outcome, ClaimWriteLost | ClaimStoreFailed):
             settlement.detail = outcome.detail
-        # The claim is read before the next try, because the write may have
-        # taken effect.
+        # The write may have taken effect, so that the next attempt reads the
+        # claim first.
         settlement.expected = None
         return isinstance(outcome, ClaimMissing | ClaimUnreadable)
 
-    async def _locate(self, settlement: Settlement, timeout: timedelta) -> bool:
-        """Find the version to replace.
+    async def _read_version(self, settlement: Settlement, timeout: timedelta) -> bool:
+        """Read the version to replace.
 
-        :return: whether the store gave a final answer; without a version there
-            is nothing to settle.
+        :return: whether the answer of the store is final; without a version
+            there is nothing to settle.
         """
-        found = await settlement.place.read(timeout)
+        found = await settlement.handle.read(timeout)
         if isinstance(found, ClaimFound):
-            self._take_version(settlement, found)
+            self._set_expected_version(settlement, found)
             return True
         if isinstance(found, ClaimStoreFailed):
             settlement.detail = found.detail
             return False
-        age = self._node.clock.monotonic() - settlement.since
+        age = self._node.clock.monotonic() - settlement.created_at
         settlement.detail = "the claim was not found"
-        return isinstance(found, ClaimUnreadable) or age > LATE_WRITE_HORIZON
+        return isinstance(found, ClaimUnreadable) or age > LATE_WRITE_WINDOW
 
-    def _take_version(self, settlement: Settlement, found: ClaimFound) -> bool:
-        """Note the version of a claim that the attempt still holds."""
+    def _set_expected_version(self, settlement: Settlement, found: ClaimFound) -> bool:
+        """Set the expected version if the attempt still holds the claim.
+
+        :return: whether the attempt still holds it.
+        """
         held = found.claim.state is ClaimState.HELD
         own = found.claim.has_attempt_of(settlement.claim)
         settlement.expected = found.version if held and own else None
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
@@ -1,4 +1,4 @@
-"""The stage that lets a non-idempotent request run at most once."""
+"""Call stage that runs a non-idempotent request at most once."""
 
 from __future__ import annotations
 
@@ -39,21 +39,21 @@
 from sycamorenotch_policies import WaitForClaim
 from sycamorenotch_policies import fingerprint
 
-CALL_TIMEOUT = timedelta(seconds=1)
+STORE_TIMEOUT = timedelta(seconds=1)
 SETTLE_TIMEOUT = timedelta(milliseconds=500)
-MAXIMUM_REMEMBERED = 10_000
+MAX_RECORDED_CLAIMS = 10_000
 
 
 @call_stages.register("claim")
 @final
 class ClaimStage:
-    """Claims the idempotency key of a call before it is handed on."""
+    """Claims the idempotency key of a call before the call is dispatched."""
 
     after: ClassVar[tuple[str, ...]] = ("quarantine", "admission")
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        # Names of claims whose request may have run through this instance.
+        # Names of claims whose request was dispatched here and may have run.
         self._may_have_run: OrderedDict[str, None] = OrderedDict()
 
     async def run(self, call: Call, proceed: Proceed) -> CallResult:
@@ -61,18 +61,18 @@
         if call.route.idempotent:
             return await proceed(call)
         if call.key is None:
-            failure = Failure(ErrorKind.BAD_IDEMPOTENCY_KEY, "a key is needed")
+            failure = Failure(ErrorKind.BAD_IDEMPOTENCY_KEY, "a key is required")
             return Error(failure)
-        place = claim_object(self._node.store, call.route.service, call.key)
-        protocol = self._protocol(call, place)
+        handle = claim_object(self._node.store, call.route.service, call.key)
+        protocol = self._create_protocol(call, handle)
         try:
-            finish = await self._converse(call, proceed, place, protocol)
+            finish = await self._run_protocol(call, proceed, handle, protocol)
         finally:
-            self._settle_interrupted(place, protocol)
-        self._remember(place, protocol)
-        return await self._finish(call, place, protocol, finish)
+            self._settle_interrupted(handle, protocol)
+        self._record_may_have_run(handle, protocol)
+        return await self._finish(call, handle, protocol, finish)
 
-    def _protocol(self, call: Call, place: ClaimObject) -> ClaimProtocol:
+    def _create_protocol(self, call: Call, handle: ClaimObject) -> ClaimProtocol:
         current = self._node.configuration.current
         assert current is not None
         request = ClaimRequest(
@@ -81,49 +81,49 @@
             instance=self._node.settings.instance,
             deadline=call.deadline,
             lifetime=current.environment.bounds.claim_lifetime,
-            seen=place.name in self._may_have_run,
+            seen=handle.name in self._may_have_run,
         )
         return ClaimProtocol(request, self._node.random)
 
-    async def _converse(
+    async def _run_protocol(
         self,
         call: Call,
         proceed: Proceed,
-        place: ClaimObject,
+        handle: ClaimObject,
         protocol: ClaimProtocol,
     ) -> FinishCall:
-        command = protocol.start(self._moment())
+        command = protocol.start(self._read_clock())
         while not isinstance(command, FinishCall):
             if isinstance(command, DispatchCall):
                 event = await self._dispatch(call, proceed, protocol)
             else:
-                event = await self._perform(call, place, command)
+                event = await self._execute(call, handle, command)
             if isinstance(event, ClaimUnreadable):
                 self._node.sink.emit(ClaimUnreadableFound(call.id, event.detail))
-            command = protocol.feed(event, self._moment())
+            command = protocol.feed(event, self._read_clock())
         return command
 
-    async def _perform(
-        self, call: Call, place: ClaimObject, command: ClaimCommand
+    async def _execute(
+        self, call: Call, handle: ClaimObject, command: ClaimCommand
     ) -> ClaimInput:
         if isinstance(command, WaitForClaim):
             await deferLater(self._node.reactor, command.delay.total_seconds())
             return ClaimWaited()
         remaining = call.deadline - self._node.clock.monotonic()
-        timeout = max(min(CALL_TIMEOUT, remaining), timedelta(milliseconds=1))
+        timeout = max(min(STORE_TIMEOUT, remaining), timedelta(milliseconds=1))
         if isinstance(command, ReadClaim):
-            return await place.read(timeout)
+            return await handle.read(timeout)
         assert not isinstance(command, DispatchCall | FinishCall)
-        return await place.write(command.claim, command.expected, timeout)
+        return await handle.write(command.claim, command.expected, timeout)
 
     async def _dispatch(
         self, call: Call, proceed: Proceed, protocol: ClaimProtocol
     ) -> ClaimInput:
         now = self._node.clock.monotonic()
-        once = protocol.record.dispatched and protocol.version is not None
+        claim_confirmed = protocol.record.dispatched and protocol.version is not None
         detail = f"attempt {protocol.request.attempt} of call {call.id}"
         if not self._node.invariants.holds(
-            Invariant.I6, once and now < call.deadline, detail
+            Invariant.I6, claim_confirmed and now < call.deadline, detail
         ):
             refusal = Failure(ErrorKind.INVARIANT, detail, Ran.NO)
             return DispatchEnded(Error(refusal))
@@ -135,25 +135,25 @@
     async def _finish(
         self,
         call: Call,
-        place: ClaimObject,
+        handle: ClaimObject,
         protocol: ClaimProtocol,
         finish: FinishCall,
     ) -> CallResult:
         if finish.settle is not None:
             remaining = call.deadline - self._node.clock.monotonic()
             await self._node.require(ClaimSettler).settle(
-                place, finish.settle, finish.expected, min(SETTLE_TIMEOUT, remaining)
+                handle, finish.settle, finish.expected, min(SETTLE_TIMEOUT, remaining)
             )
         if not protocol.record.dispatched:
             self._report_answer(call, finish.result)
-        return self._checked(call, protocol, finish.result)
+        return self._verify(call, protocol, finish.result)
 
-    def _checked(
+    def _verify(
         self, call: Call, protocol: ClaimProtocol, result: CallResult
     ) -> CallResult:
         if result.is_ok() or result.error.stated_ran is not Ran.NO:
             return result
-        detail = f"call {call.id} was handed on and may have run"
+        detail = f"call {call.id} was dispatched and may have run"
         if self._node.invariants.holds(
             Invariant.I5, not protocol.record.may_have_run, detail
         ):
@@ -162,28 +162,30 @@
 
     def _report_answer(self, call: Call, result: CallResult) -> None:
         outcome = "recorded answer" if result.is_ok() else result.error.kind.value
-        call.note(f"The claim for the key decided the answer: {outcome}.")
+        call.note(f"The claim for the key determined the answer: {outcome}.")
         self._node.sink.emit(ClaimAnswered(call.id, outcome))
 
-    def _settle_interrupted(self, place: ClaimObject, protocol: ClaimProtocol) -> None:
+    def _settle_interrupted(self, handle: ClaimObject, protocol: ClaimProtocol) -> None:
         finish = protocol.abandon()
         if finish is None:
             return
-        self._remember(place, protocol)
+        self._record_may_have_run(handle, protocol)
         if finish.settle is not None:
             self._node.require(ClaimSettler).settle_later(
-                place, finish.settle, finish.expected
+                handle, finish.settle, finish.expected
             )
 
-    def _remember(self, place: ClaimObject, protocol: ClaimProtocol) -> None:
+    def _record_may_have_run(
+        self, handle: ClaimObject, protocol: ClaimProtocol
+    ) -> None:
         if protocol.record.may_have_run:
-            self._may_have_run[place.name] = None
-            self._may_have_run.move_to_end(place.name)
+            self._may_have_run[handle.name] = None
+            self._may_have_run.move_to_end(handle.name)
         elif protocol.record.dispatched:
-            self._may_have_run.pop(place.name, None)
-        if len(self._may_have_run) > MAXIMUM_REMEMBERED:
+            self._may_have_run.pop(handle.name, None)
+        if len(self._may_have_run) > MAX_RECORDED_CLAIMS:
             self._may_have_run.popitem(last=False)
 
-    def _moment(self) -> Moment:
+    def _read_clock(self) -> Moment:
         clock = self._node.clock
         return Moment(clock.monotonic(), clock.now())
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_store.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_store.py
@@ -1,4 +1,4 @@
-"""Reads and writes one claim and names the outcome for the protocol."""
+"""Reads and writes a claim and converts store results for the protocol."""
 
 from __future__ import annotations
 
@@ -32,58 +32,67 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimObject:
-    """The place of one claim in the store."""
+    """Handle of one claim in the store.
+
+    :param kind: object kind of the claim's shard.
+    :param name: object name of the claim.
+    """
 
     store: Store
     kind: str
     name: str
 
     async def read(self, timeout: timedelta) -> ReadOutcome:
-        """Read the claim."""
+        """Read and decode the claim."""
         found = await self.store.get(self.kind, self.name, timeout)
         if found.is_ok():
-            return _found(found.ok)
+            return _decode_stored(found.ok)
         if found.error.fault is StoreFault.NOT_FOUND:
             return ClaimMissing()
-        return ClaimStoreFailed(_detail(found.error))
+        return ClaimStoreFailed(_describe(found.error))
 
     async def write(
         self, claim: Claim, expected: Version | None, timeout: timedelta
     ) -> WriteOutcome:
-        """Create the claim, or replace it if it has the expected version."""
+        """Create the claim, or replace it if its version matches.
+
+        :param expected: version to replace; none to create the claim.
+        """
         value = encode_claim(claim)
         if expected is None:
             created = await self.store.create(self.kind, self.name, value, timeout)
-            return _written(created)
-        return _written(
+            return _convert_write(created)
+        return _convert_write(
             await self.store.update(self.kind, self.name, value, expected, timeout)
         )
 
 
 def claim_object(store: Store, service: str, key: str) -> ClaimObject:
-    """Return the place of the claim for a key of a service."""
+    """Return the handle of the claim for a key of a service."""
     return ClaimObject(store, *claim_place(service, key))
 
 
-def _found(stored: StoredObject) -> ClaimFound | ClaimUnreadable:
+def _decode_stored(stored: StoredObject) -> ClaimFound | ClaimUnreadable:
     decoded = decode_claim(stored.value)
     if decoded.is_error():
         return ClaimUnreadable(decoded.error)
     return ClaimFound(decoded.ok, stored.version)
 
 
-def _written(result: Result[StoredObject, StoreError]) -> WriteOutcome:
+def _convert_write(result: Result[StoredObject, StoreError]) -> WriteOutcome:
     if result.is_ok():
         return ClaimWritten(result.ok.version)
     error = result.error
     if error.fault is StoreFault.CONFLICT:
-        return ClaimConflict() if error.current is None else _found(error.current)
+        return (
+            ClaimConflict() if error.current is None else _decode_stored(error.current)
+        )
     if error.fault is StoreFault.NOT_FOUND:
         return ClaimMissing()
     if error.fault is StoreFault.UNKNOWN:
-        return ClaimWriteLost(_detail(error))
-    return ClaimStoreFailed(_detail(error))
+        return ClaimWriteLost(_describe(error))
+    return ClaimStoreFailed(_describe(error))
 
 
-def _detail(error: StoreError) -> str:
+def _describe(error: StoreError) -> str:
     return f"{error.fault.value}: {error.detail}"
--- a/packages/daemon/src/sycamorenotch_daemon/_connections.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_connections.py
@@ -21,17 +21,17 @@
 
 from sycamorenotch_policies import ConnectionBudget
 
-CONNECT_LIMIT_S = 2
+CONNECT_TIMEOUT_S = 2
 
 
 class ConnectionRefusedByBudgetError(Exception):
-    """Every connection of the worker's budget is in use."""
+    """The connection budget of the worker is exhausted."""
 
 
 @implementer(IAgentEndpointFactory)
 @final
 class BudgetedEndpoints:
-    """Builds the endpoints that an agent connects to.
+    """Creates the endpoints that an agent connects to.
 
     :param budget_for: returns the connection budget of an address.
     """
@@ -45,7 +45,7 @@
     def endpointForURI(self, uri: URI) -> IStreamClientEndpoint:
         """Return the endpoint of a worker."""
         host, port = uri.host.decode("ascii"), uri.port
-        endpoint = HostnameEndpoint(self._reactor, host, port, CONNECT_LIMIT_S)
+        endpoint = HostnameEndpoint(self._reactor, host, port, CONNECT_TIMEOUT_S)
         budget = self._budget_for(f"{host}:{port}")
         if budget is None:
             return endpoint
@@ -63,25 +63,28 @@
         self._budget = budget
 
     def connect(self, protocolFactory: IProtocolFactory) -> Deferred[IProtocol]:
-        """Connect when the budget allows it."""
+        """Connect as soon as the budget allows it.
+
+        :raises ConnectionRefusedByBudgetError: if the budget is exhausted.
+        """
         return Deferred.fromCoroutine(self._connect(protocolFactory))
 
     async def _connect(self, factory: IProtocolFactory) -> IProtocol:
         delay = self._budget.reserve(_now(self._reactor))
         if delay is None:
-            raise ConnectionRefusedByBudgetError("the connection budget is used up")
+            raise ConnectionRefusedByBudgetError("the connection budget is exhausted")
         try:
             if delay:
                 await deferLater(self._reactor, delay.total_seconds())
             protocol = await self._endpoint.connect(factory)
         except CancelledError as exc:
-            # The caller must learn that no byte of a request was sent.
+            # This error tells the client that no byte of a request was sent.
             self._budget.release()
             raise ConnectingCancelledError(None) from exc
         except Exception:
             self._budget.release()
             raise
-        _on_lost(protocol, self._budget.release)
+        _call_on_connection_lost(protocol, self._budget.release)
         return protocol
 
 
@@ -89,12 +92,15 @@
     return timedelta(seconds=reactor.seconds())
 
 
-def _on_lost(protocol: Any, function: Callable[[], None]) -> None:
-    """Call a function when a protocol of a library loses its connection."""
-    lost = protocol.connectionLost
+def _call_on_connection_lost(protocol: Any, function: Callable[[], None]) -> None:
+    """Call a function when a protocol loses its connection.
+
+    The protocol belongs to a library and has no hook for this.
+    """
+    wrapped = protocol.connectionLost
 
     def connection_lost(*args: Any) -> None:
         function()
-        lost(*args)
+        wrapped(*args)
 
     protocol.connectionLost = connection_lost
--- a/packages/daemon/src/sycamorenotch_daemon/_dispatch.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_dispatch.py
@@ -1,4 +1,4 @@
-"""The last stage of a call: sends it to an upstream worker."""
+"""Last stage of a call, which sends it to an upstream worker."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 @call_stages.register("dispatch")
 @final
 class DispatchStage:
-    """Sends a call to one worker of its service."""
+    """Sends each call to one worker of its service."""
 
     after: ClassVar[tuple[str, ...]] = ("quarantine", "admission", "claim", "retry")
 
@@ -42,7 +42,7 @@
         self._upstreams = node.require(Upstreams)
 
     async def run(self, call: Call, proceed: Proceed) -> CallResult:
-        """Send the call and wait for the whole answer."""
+        """Choose a worker, send the call and wait for the complete answer."""
         now = self._node.clock.monotonic()
         remaining = call.deadline - now
         if remaining <= timedelta():
@@ -53,7 +53,7 @@
             return _no_worker("the service is not configured")
         choice = chooser.choose(now, frozenset(call.tried))
         if choice is None:
-            return _no_worker("no worker of the service can take the call")
+            return _no_worker("no worker of the service has capacity for the call")
         return await self._send(call, chooser, choice, remaining)
 
     async def _send(
@@ -63,33 +63,33 @@
         choice: Choice,
         remaining: timedelta,
     ) -> CallResult:
-        worker, started = choice.worker, self._node.clock.monotonic()
+        worker, started_at = choice.worker, self._node.clock.monotonic()
         call.tried.append(worker.name)
         call.note(choice.reason, worker=worker.name)
-        # The outcome stays the worst one if an exception leaves the client.
+        # The attempt counts as failed if the client raises an exception.
         outcome = Outcome.FAILED
         try:
             result = await self._upstreams.client.send(call, worker, remaining)
             outcome = Outcome.ANSWERED if result.is_ok() else result.error.outcome
         finally:
             now = self._node.clock.monotonic()
-            call.upstream_time = now - started
+            call.upstream_time = now - started_at
             cause = call.signature or None
             chooser.finish(worker.name, call.upstream_time, outcome, now, cause)
-        self._count_strike(call, worker.name, result)
+        self._record_outcome(call, worker.name, result)
         if result.is_error():
             return Error(result.error.failure)
-        return self._checked(call, result.ok, worker.name)
+        return self._verify(call, result.ok, worker.name)
 
-    def _checked(self, call: Call, answer: CallAnswer, worker: str) -> CallResult:
+    def _verify(self, call: Call, answer: CallAnswer, worker: str) -> CallResult:
         detail = f"{worker}: {len(answer.body)} of {answer.length} bytes"
         belongs = answer.belongs_to(call)
         if self._node.invariants.holds(Invariant.I4, belongs, detail):
             return Ok(answer)
-        refused = "the answer is not whole or belongs to another request"
-        return Error(Failure(ErrorKind.INVARIANT, refused, Ran.UNKNOWN))
+        violation = "the answer is incomplete or belongs to another request"
+        return Error(Failure(ErrorKind.INVARIANT, violation, Ran.UNKNOWN))
 
-    def _count_strike(self, call: Call, worker: str, result: AttemptResult) -> None:
+    def _record_outcome(self, call: Call, worker: str, result: AttemptResult) -> None:
         quarantine = self._node.find(Quarantine)
         if quarantine is None or not call.signature:
             return
--- a/packages/daemon/src/sycamorenotch_daemon/_headers.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_headers.py
@@ -1,4 +1,4 @@
-"""Which HTTP headers are passed on."""
+"""Selection of the HTTP headers that are forwarded."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from sycamorenotch_kernel import Headers
 
-# Hop-by-hop headers of RFC 9110 section 7.6.1, and those that the HTTP
-# libraries on both sides set for their own hop.
+# Hop-by-hop headers of RFC 9110 section 7.6.1, and the headers that the HTTP
+# libraries on both sides set themselves.
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -27,13 +27,13 @@
 
 
 def end_to_end(headers: Iterable[tuple[str, str]]) -> Headers:
-    """Return the headers without those that concern one connection only."""
+    """Return the headers without those that apply to a single connection."""
     pairs = tuple(headers)
-    named = frozenset(
+    connection_options = frozenset(
         token.strip().lower()
         for name, value in pairs
         if name.lower() == "connection"
         for token in value.split(",")
     )
-    dropped = HOP_BY_HOP | named
-    return tuple((n, v) for n, v in pairs if n.lower() not in dropped)
+    excluded = HOP_BY_HOP | connection_options
+    return tuple((n, v) for n, v in pairs if n.lower() not in excluded)
--- a/packages/daemon/src/sycamorenotch_daemon/_health_poll.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_health_poll.py
@@ -1,4 +1,4 @@
-"""Polls the health and load endpoints of the workers nearby."""
+"""Polls the health endpoints of the workers that this instance uses."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from sycamorenotch_kernel import health_signals
 
 POLL_TIMEOUT = timedelta(seconds=1)
-SHORTEST_INTERVAL = timedelta(milliseconds=20)
-LONGEST_ROUND = timedelta(seconds=2)
-# A leaving worker is seen in the first third of the bound for new work.
+MIN_INTERVAL = timedelta(milliseconds=20)
+MAX_ROUND_DURATION = timedelta(seconds=2)
+# A leaving worker is detected within a third of the bound for new requests.
 ROUNDS_PER_LEAVING_BOUND = 3
 IDLE_INTERVAL = timedelta(seconds=1)
-MAXIMUM_REPORT_BYTES = 4096
+MAX_REPORT_BYTES = 4096
 
 
 @components.register("health-poll")
 @final
 class HealthPoll:
-    """Asks one worker after the other, at a bounded rate and with jitter."""
+    """Polls one worker after the other, at a bounded rate and with jitter."""
 
     after: ClassVar[tuple[str, ...]] = ("upstreams",)
 
@@ -43,38 +43,39 @@
         self._signals: tuple[HealthSignal, ...] = tuple(
             entry.value() for entry in health_signals
         )
-        self._round: list[Worker] = []
-        self._next: IDelayedCall | None = None
-        self._running: set[Deferred[None]] = set()
-        self._missing: set[str] = set()
+        self._remaining_workers: list[Worker] = []
+        self._next_poll: IDelayedCall | None = None
+        self._in_flight: set[Deferred[None]] = set()
+        self._without_report: set[str] = set()
 
     async def start(self) -> None:
-        """Start polling."""
-        self._schedule(SHORTEST_INTERVAL)
+        """Schedule the first poll."""
+        self._schedule(MIN_INTERVAL)
 
     async def stop(self) -> None:
-        """Stop polling and give up the polls that wait."""
-        if self._next is not None and self._next.active():
-            self._next.cancel()
-        for running in tuple(self._running):
-            running.cancel()
+        """Stop polling and cancel the polls in flight."""
+        if self._next_poll is not None and self._next_poll.active():
+            self._next_poll.cancel()
+        for poll in tuple(self._in_flight):
+            poll.cancel()
 
     def _schedule(self, interval: timedelta) -> None:
-        # The mean stays the interval, while instances never fall into step.
+        # The jitter keeps instances from polling in step and leaves the mean
+        # interval unchanged.
         delay_s = interval.total_seconds() * (0.5 + self._node.random.random())
-        self._next = self._node.reactor.callLater(delay_s, self._poll_next)
+        self._next_poll = self._node.reactor.callLater(delay_s, self._poll_next)
 
     def _poll_next(self) -> None:
-        if not self._round:
-            self._round = list(self._upstreams.nearby())
-            self._node.random.shuffle(self._round)
-        if not self._round:
+        if not self._remaining_workers:
+            self._remaining_workers = list(self._upstreams.nearby())
+            self._node.random.shuffle(self._remaining_workers)
+        if not self._remaining_workers:
             self._schedule(IDLE_INTERVAL)
             return
-        worker = self._round.pop()
+        worker = self._remaining_workers.pop()
         polling = Deferred.fromCoroutine(self._poll(worker))
-        self._running.add(polling)
-        polling.addBoth(lambda _: self._running.discard(polling))
+        self._in_flight.add(polling)
+        polling.addBoth(lambda _: self._in_flight.discard(polling))
         self._schedule(self._interval())
 
     def _interval(self) -> timedelta:
@@ -82,7 +83,7 @@
         assert current is not None
         bound = current.environment.bounds.leaving / ROUNDS_PER_LEAVING_BOUND
         workers = max(1, len(self._upstreams.nearby()))
-        return max(SHORTEST_INTERVAL, min(LONGEST_ROUND, bound) / workers)
+        return max(MIN_INTERVAL, min(MAX_ROUND_DURATION, bound) / workers)
 
     async def _poll(self, worker: Worker) -> None:
         for signal in self._signals:
@@ -96,7 +97,7 @@
             except Exception as exc:
                 self._report_missing(worker, type(exc).__name__)
                 return
-        self._missing.discard(worker.name)
+        self._without_report.discard(worker.name)
 
     async def _read(self, worker: Worker, path: str) -> bytes:
         url = f"http://{worker.address}{path}"
@@ -109,11 +110,11 @@
             url, reactor=self._node.reactor, allow_redirects=False
         )
         content: bytes = await treq.content(response)
-        return content[:MAXIMUM_REPORT_BYTES]
+        return content[:MAX_REPORT_BYTES]
 
     def _report_missing(self, worker: Worker, reason: str) -> None:
-        # Without a new report the last one loses its weight with age, and the
-        # worker keeps the state that it had.
-        if worker.name not in self._missing:
-            self._missing.add(worker.name)
+        # Without a new report the last one loses weight with age, and the
+        # worker keeps its state.
+        if worker.name not in self._without_report:
+            self._without_report.add(worker.name)
             self._node.sink.emit(HealthReportMissing(worker.name, reason))
--- a/packages/daemon/src/sycamorenotch_daemon/_health_signals.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_health_signals.py
@@ -1,4 +1,4 @@
-"""What workers say about themselves, and how it is read."""
+"""Health signals: endpoints of the workers that are polled."""
 
 from __future__ import annotations
 
@@ -17,16 +17,21 @@
 
 
 class HealthSignal(Protocol):
-    """An endpoint of a worker that is polled."""
+    """A polled endpoint of the workers.
+
+    Implementations register themselves as ``health_signals``.
+    """
 
     path: str
 
     def apply(
         self, body: bytes, worker: Worker, upstreams: Upstreams, now: timedelta
     ) -> None:
-        """Take in an answer of the endpoint.
+        """Apply a response of the endpoint.
 
-        :raises pydantic.ValidationError: if the answer is malformed.
+        :param body: content of the response.
+        :param now: time of the response on the monotonic clock.
+        :raises pydantic.ValidationError: if the response is malformed.
         """
         ...
 
@@ -47,14 +52,14 @@
 @health_signals.register("state")
 @final
 class StateSignal:
-    """Whether a worker is leaving."""
+    """Signal whether a worker is leaving."""
 
     path = "/health"
 
     def apply(
         self, body: bytes, worker: Worker, upstreams: Upstreams, now: timedelta
     ) -> None:
-        """Stop or allow new work on the worker."""
+        """Stop or allow new requests to the worker."""
         state = StateModel.model_validate_json(body).state
         upstreams.report_leaving(worker.name, state == "leaving")
 
@@ -62,14 +67,14 @@
 @health_signals.register("load")
 @final
 class LoadSignal:
-    """How many slots of a worker are in use."""
+    """Signal how many slots of a worker are in use."""
 
     path = "/load"
 
     def apply(
         self, body: bytes, worker: Worker, upstreams: Upstreams, now: timedelta
     ) -> None:
-        """Hand the report to the choice of the worker's service."""
+        """Forward the report to the choice of the worker's service."""
         load = LoadModel.model_validate_json(body)
         choice = upstreams.choice(worker.service)
         if choice is not None:
--- a/packages/daemon/src/sycamorenotch_daemon/_lookups.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_lookups.py
@@ -1,4 +1,4 @@
-"""Answers look-ups over HTTP."""
+"""Handles look-up requests over HTTP."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
 from sycamorenotch_policies import LookupAnswer
 from sycamorenotch_policies import LookupTable
 
-ENCODED_LIMIT = 4096
+MAX_CACHED_ANSWERS = 4096
 
 
 @final
 class Lookups:
-    """Decides look-ups and encodes their answers.
+    """Decides look-ups, encodes their answers and caches the encoded ones.
 
     :param node: context of the daemon.
     """
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        self._view = node.require(InstanceView)  # type: ignore[type-abstract]
-        self._plan = node.find(PlanView)  # type: ignore[type-abstract]
+        self._instance_view = node.require(InstanceView)  # type: ignore[type-abstract]
+        self._plan_view = node.find(PlanView)  # type: ignore[type-abstract]
         self._table: LookupTable | None = None
-        self._encoded: dict[LookupAnswer, bytes] = {}
+        self._encoded_answers: dict[LookupAnswer, bytes] = {}
         node.configuration.subscribe(self._on_configuration)
 
     def handle(self, req: Request) -> bytes:
-        """Answer one look-up request."""
+        """Handle one look-up request and return the response body."""
         decision = self._node.ids.decision()
         service = _argument(req, b"service")
         client = _argument(req, b"client")
@@ -61,8 +61,8 @@
         return self._encode(result.ok) + decision.encode() + b'"}'
 
     def _on_configuration(self, in_force: InForce) -> None:
-        home = self._node.settings.region
-        self._table = LookupTable(in_force.environment, home)
+        own_region = self._node.settings.region
+        self._table = LookupTable(in_force.environment, own_region)
 
     def _decide(self, service: str, client: str) -> Result[LookupAnswer, Failure]:
         if self._table is None:
@@ -70,17 +70,21 @@
         address = _address(client)
         if address.is_error():
             return Error(address.error)
-        plan = None if self._plan is None else self._plan.plan()
-        self._table.update(plan, self._view.instances())
+        plan = None if self._plan_view is None else self._plan_view.plan()
+        self._table.update(plan, self._instance_view.instances())
         return self._table.answer(service, address.ok)
 
     def _encode(self, answer: LookupAnswer) -> bytes:
-        """Return the encoded answer up to the value of the last member."""
-        known = self._encoded.get(answer)
-        if known is not None:
-            return known
-        if len(self._encoded) >= ENCODED_LIMIT:
-            self._encoded.clear()
+        """Return the JSON answer up to the value of the last member.
+
+        The last member is the identifier of the decision, which differs in
+        each answer.
+        """
+        cached = self._encoded_answers.get(answer)
+        if cached is not None:
+            return cached
+        if len(self._encoded_answers) >= MAX_CACHED_ANSWERS:
+            self._encoded_answers.clear()
         instances = [
             {
                 "address": item.callers,
@@ -95,24 +99,26 @@
             "generation": self._node.configuration.generation,
         }
         encoded = json.dumps(body).encode()[:-1] + b', "decision": "'
-        self._encoded[answer] = encoded
+        self._encoded_answers[answer] = encoded
         return encoded
 
     def _record(
         self, decision: DecisionId, service: str, client: str, answer: LookupAnswer
     ) -> None:
-        named = ", ".join(item.id for item in answer.instances)
-        self._node.sink.emit(LookupAnswered(decision, service, answer.region, named))
+        instance_ids = ", ".join(item.id for item in answer.instances)
+        self._node.sink.emit(
+            LookupAnswered(decision, service, answer.region, instance_ids)
+        )
         self._node.decisions.record(
             DecisionRecord(
                 id=decision,
                 kind=DecisionKind.LOOKUP,
                 at=self._node.clock.now(),
                 generation=self._node.configuration.generation,
-                outcome=f"use {named}",
+                outcome=f"use {instance_ids}",
                 reasons=(
                     f"The client belongs to region {answer.region}.",
-                    f"Plan {answer.plan} has {answer.serving} serve it.",
+                    f"Plan {answer.plan} assigns it to {answer.serving}.",
                 ),
                 facts=(Fact("service", service), Fact("client", client)),
             )
@@ -128,4 +134,4 @@
     try:
         return Ok(ip_address(text))
     except ValueError:
-        return Error(Failure(ErrorKind.BAD_REQUEST, "client must be an IP number"))
+        return Error(Failure(ErrorKind.BAD_REQUEST, "client must be an IP address"))
--- a/packages/daemon/src/sycamorenotch_daemon/_problems.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_problems.py
@@ -1,4 +1,4 @@
-"""Encodes failures as problem+json answers."""
+"""Encodes failures as ``application/problem+json`` responses."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from sycamorenotch_transport import WireAnswer
 from sycamorenotch_transport import WireProblem
 
-PROBLEM_TYPE = "application/problem+json"
+PROBLEM_CONTENT_TYPE = "application/problem+json"
 
-WIRE_KINDS = {
+KIND_BY_REJECTION = {
     WireProblem.MALFORMED: ErrorKind.BAD_REQUEST,
     WireProblem.HEADERS_TOO_LARGE: ErrorKind.HEADERS_TOO_LARGE,
     WireProblem.BODY_TOO_LARGE: ErrorKind.BODY_TOO_LARGE,
@@ -24,12 +24,12 @@
 
 
 def write_problem(req: Request, failure: Failure, decision: str) -> bytes:
-    """Set the status and headers of an error and return its body.
+    """Set the status and headers of an error response and return its body.
 
-    :param decision: identifier of the decision that led to the error.
+    :param decision: identifier of the decision that led to the failure.
     """
     req.setResponseCode(failure.answer.status)
-    req.setHeader("Content-Type", PROBLEM_TYPE)
+    req.setHeader("Content-Type", PROBLEM_CONTENT_TYPE)
     req.setHeader("Decision-Id", decision)
     if failure.retry_after is not None:
         seconds = max(1, math.ceil(failure.retry_after.total_seconds()))
@@ -38,11 +38,14 @@
 
 
 def wire_problem(problem: WireProblem, decision: str) -> WireAnswer:
-    """Return the answer to a request that was not read to its end."""
-    failure = Failure(WIRE_KINDS[problem], problem.value)
+    """Return the response to a request that could not be read completely.
+
+    :param decision: identifier of the decision to refuse the request.
+    """
+    failure = Failure(KIND_BY_REJECTION[problem], problem.value)
     phrase = HTTPStatus(failure.answer.status).phrase
     status = f"{failure.answer.status} {phrase}"
-    return WireAnswer(status, PROBLEM_TYPE, _encode(failure, decision))
+    return WireAnswer(status, PROBLEM_CONTENT_TYPE, _encode(failure, decision))
 
 
 def _encode(failure: Failure, decision: str) -> bytes:
--- a/packages/daemon/src/sycamorenotch_daemon/_quarantine_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_quarantine_stage.py
@@ -1,4 +1,4 @@
-"""Holds back requests that bring down the workers that run them."""
+"""Refuses requests that have made several workers fail."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 @call_stages.register("quarantine")
 @final
 class QuarantineStage:
-    """Signs each call and refuses the ones in quarantine."""
+    """Computes the signature of each call and refuses quarantined ones."""
 
     after: ClassVar[tuple[str, ...]] = ("demand",)
 
@@ -35,7 +35,10 @@
         node.provide(Quarantine, self._quarantine)
 
     async def run(self, call: Call, proceed: Proceed) -> CallResult:
-        """Refuse the call, or run it and report a new quarantine."""
+        """Refuse the call if it is quarantined, or else run it.
+
+        An event is emitted if the call enters quarantine while it runs.
+        """
         service, method = call.route.service, call.method
         signature = sign_request(service, method, call.path, call.body)
         call.signature = signature
@@ -43,10 +46,10 @@
         if remaining is not None:
             seconds = remaining.total_seconds()
             self._node.sink.emit(QuarantineRefused(call.id, signature, seconds))
-            # An earlier attempt under the same key may have run before its
-            # worker was lost.
+            # An earlier attempt under the same key may have run before the
+            # connection to its worker was lost.
             ran = Ran.NO if call.key is None else Ran.UNKNOWN
-            detail = "the same request has brought down several workers"
+            detail = "the same request has made several workers fail"
             return Error(Failure(ErrorKind.QUARANTINED, detail, ran, remaining))
         result = await proceed(call)
         self._report(call)
@@ -58,4 +61,4 @@
         if self._quarantine.remaining(signature, now) is not None:
             last = call.tried[-1] if call.tried else ""
             self._node.sink.emit(QuarantineEntered(call.id, signature, last))
-            call.note("The request was put into quarantine.", signature=signature)
+            call.note("The request was quarantined.", signature=signature)
--- a/packages/daemon/src/sycamorenotch_daemon/_retry_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_retry_stage.py
@@ -1,4 +1,4 @@
-"""Repeats failed attempts as the retry rule allows."""
+"""Retries failed attempts as the retry rule allows."""
 
 from __future__ import annotations
 
@@ -34,19 +34,23 @@
 @call_stages.register("retry")
 @final
 class RetryStage:
-    """Asks the retry rule of the service after each failed attempt."""
+    """Consults the retry rule of the service after each failed attempt."""
 
     after: ClassVar[tuple[str, ...]] = ("quarantine", "admission", "claim")
 
     def __init__(self, node: Node) -> None:
         self._node = node
         self._rules: dict[str, RetryRule] = {}
-        self._name = ""
+        self._rule_name = ""
         node.configuration.subscribe(self._on_configuration)
 
     async def run(self, call: Call, proceed: Proceed) -> CallResult:
-        """Run the call until it is answered or the rule gives up."""
-        rule = self._rule(call.route.service)
+        """Run attempts until one is answered or the retry rule gives up.
+
+        :return: the answer, or the failure of the last attempt with what is
+            known about the execution in all attempts.
+        """
+        rule = self._rule_of(call.route.service)
         rule.count_first_attempt()
         ran, number = Ran.NO, 1
         last: Failure | None = None
@@ -55,16 +59,17 @@
             if result.is_ok():
                 return result
             failure = result.error
-            ran = _worse(ran, failure.stated_ran)
+            ran = _combine(ran, failure.stated_ran)
             if last is not None and failure.kind is ErrorKind.NO_UPSTREAM:
-                # The caller learns why the attempts failed.
+                # The earlier failure tells the caller more than that no worker
+                # is left.
                 return Error(replace(last, ran=ran))
             decision = self._decide(call, rule, failure, number)
             if isinstance(decision, GiveUp):
                 return Error(replace(failure, ran=ran))
             last = failure
             if not await self._wait(decision.delay):
-                detail = "the caller went away between two attempts"
+                detail = "the caller disconnected between two attempts"
                 return Error(Failure(ErrorKind.CANCELLED, detail, ran))
             number += 1
 
@@ -74,7 +79,7 @@
         now = self._node.clock.monotonic()
         decision = self._decide_unless_quarantined(call, rule, failure, number, now)
         if isinstance(decision, GiveUp):
-            call.note(f"No retry followed, because {decision.reason}.")
+            call.note(f"The call was not retried: {decision.reason}.")
             event = RetryRefused(call.id, number, failure.kind.value, decision.reason)
         else:
             call.note(f"Attempt {number} failed: {failure.detail}.")
@@ -113,21 +118,21 @@
             return False
         return True
 
-    def _rule(self, service: str) -> RetryRule:
+    def _rule_of(self, service: str) -> RetryRule:
         if service not in self._rules:
-            factory = retry_rules.get(self._name)
+            factory = retry_rules.get(self._rule_name)
             self._rules[service] = factory(self._node.random)
         return self._rules[service]
 
     def _on_configuration(self, in_force: InForce) -> None:
         name = in_force.environment.policies["retry"]
-        if name != self._name:
-            self._name = name
+        if name != self._rule_name:
+            self._rule_name = name
             self._rules.clear()
 
 
-def _worse(first: Ran, second: Ran) -> Ran:
-    """Return what is known of a request that was tried twice."""
+def _combine(first: Ran, second: Ran) -> Ran:
+    """Combine what is known about the execution in two attempts."""
     if Ran.YES in (first, second):
         return Ran.YES
     return Ran.NO if first is second is Ran.NO else Ran.UNKNOWN
--- a/packages/daemon/src/sycamorenotch_daemon/_strike_exchange.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_strike_exchange.py
@@ -1,4 +1,4 @@
-"""Tells the other instances which requests brought down upstreams."""
+"""Exchange of quarantine strikes between the instances."""
 
 from __future__ import annotations
 
@@ -24,15 +24,19 @@
 
 EXCHANGE_INTERVAL = timedelta(milliseconds=500)
 STRIKES_PER_MESSAGE = 16
-REMEMBERED = 4096
+MAX_SEEN_STRIKES = 4096
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class StrikeNews:
-    """One strike on its way through the fleet.
+    """One strike in a message between instances.
 
-    :param age_ms: time since it was seen, in milliseconds.
+    :param signature: signature of the request.
+    :param worker: name of the worker that failed.
+    :param origin: instance that recorded the strike, with its incarnation.
+    :param sequence: number of the strike at its origin.
+    :param age_ms: time since the strike was recorded, in milliseconds.
     """
 
     signature: str
@@ -46,7 +50,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class StrikesReport(Message):
-    """Strikes that the sender saw or was told."""
+    """Strikes that the sender recorded or received."""
 
     strikes: tuple[StrikeNews, ...]
 
@@ -54,10 +58,10 @@
 @components.register("strikes")
 @final
 class StrikeExchange:
-    """Sends this instance's strikes and passes on those it has not seen.
+    """Sends the strikes of this instance and forwards those that are new to it.
 
-    Each strike crosses each stream at most once in each direction, so that a
-    flood of repeats ends by itself.
+    Each strike crosses each stream at most once in each direction, so that
+    flooding terminates.
     """
 
     after: ClassVar[tuple[str, ...]] = ("peers", "calls")
@@ -65,53 +69,58 @@
     def __init__(self, node: Node) -> None:
         self._node = node
         self._mesh = node.require(PeerMesh)
-        # A restarted instance counts its strikes from 1 again.
+        # The incarnation is included, because a restarted instance numbers its
+        # strikes from 1 again.
         self._origin = f"{node.settings.instance}/{self._mesh.incarnation}"
-        self._sent = 0
+        self._last_sent_sequence = 0
         self._seen: OrderedDict[tuple[str, int], None] = OrderedDict()
-        self._loop = LoopingCall(self._on_round)
+        self._loop = LoopingCall(self._send_new_strikes)
         self._loop.clock = node.reactor
         self._mesh.handle(StrikesReport, self._on_report)
 
     async def start(self) -> None:
-        """Start the rounds."""
+        """Start to send new strikes periodically."""
         self._loop.start(EXCHANGE_INTERVAL.total_seconds(), now=False)
 
     async def stop(self) -> None:
-        """Stop the rounds."""
+        """Stop sending."""
         if self._loop.running:
             self._loop.stop()
 
-    def _on_round(self) -> None:
+    def _send_new_strikes(self) -> None:
         quarantine = self._node.find(Quarantine)
         if quarantine is None:
             return
         now = self._node.clock.monotonic()
-        strikes = quarantine.strikes_since(self._sent, now)[:STRIKES_PER_MESSAGE]
+        strikes = quarantine.strikes_since(self._last_sent_sequence, now)[
+            :STRIKES_PER_MESSAGE
+        ]
         if strikes:
-            self._sent = strikes[-1].sequence
-            self._send(map(self._news, strikes), except_to=None)
+            self._last_sent_sequence = strikes[-1].sequence
+            self._send(map(self._encode_strike, strikes), except_to=None)
 
     def _on_report(self, peer: PeerIdentity, report: StrikesReport) -> None:
         quarantine = self._node.find(Quarantine)
-        fresh = [s for s in report.strikes[:STRIKES_PER_MESSAGE] if self._is_new(s)]
-        if quarantine is None or not fresh:
+        new_strikes = [
+            s for s in report.strikes[:STRIKES_PER_MESSAGE] if self._is_new(s)
+        ]
+        if quarantine is None or not new_strikes:
             return
-        quarantine.merge(map(_strike, fresh), self._node.clock.monotonic())
-        self._send(fresh, except_to=peer.instance)
+        quarantine.merge(map(_decode_strike, new_strikes), self._node.clock.monotonic())
+        self._send(new_strikes, except_to=peer.instance)
 
-    def _news(self, strike: Strike) -> StrikeNews:
+    def _encode_strike(self, strike: Strike) -> StrikeNews:
         age_ms = round(strike.age / timedelta(milliseconds=1))
         return StrikeNews(
             strike.signature, strike.worker, self._origin, strike.sequence, age_ms
         )
 
     def _is_new(self, news: StrikeNews) -> bool:
-        identity = (news.origin, news.sequence)
-        if identity in self._seen or news.origin == self._origin:
+        strike_id = (news.origin, news.sequence)
+        if strike_id in self._seen or news.origin == self._origin:
             return False
-        self._seen[identity] = None
-        if len(self._seen) > REMEMBERED:
+        self._seen[strike_id] = None
+        if len(self._seen) > MAX_SEEN_STRIKES:
             self._seen.popitem(last=False)
         return True
 
@@ -124,7 +133,7 @@
                 self._mesh.send(peer.instance, report)
 
 
-def _strike(news: StrikeNews) -> Strike:
+def _decode_strike(news: StrikeNews) -> Strike:
     return Strike(
         Signature(news.signature),
         news.worker,
--- a/packages/daemon/src/sycamorenotch_daemon/_upstream_client.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_upstream_client.py
@@ -1,4 +1,4 @@
-"""One exchange with an upstream worker over a pooled connection."""
+"""HTTP client for upstream workers, over pooled connections."""
 
 from __future__ import annotations
 
@@ -41,26 +41,28 @@
 from sycamorenotch_policies import Outcome
 from sycamorenotch_transport import BytesProducer
 
-NOT_RUN_HEADER = b"Request-Ran"
-IDENTIFIER_HEADER = b"Request-Id"
-MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024
-IDLE_CONNECTIONS = 8
-# Shorter than the idle limit of usual servers, so that a request is rarely
-# sent on a connection that its worker is about to close.
-IDLE_LIMIT_S = 20
+REQUEST_RAN_HEADER = b"Request-Ran"
+REQUEST_ID_HEADER = b"Request-Id"
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
+MAX_IDLE_CONNECTIONS = 8
+# Shorter than the keep-alive timeout of common servers, so that a request is
+# rarely sent on a connection that its worker is about to close.
+IDLE_TIMEOUT_S = 20
 SHED_RETRY_AFTER = timedelta(seconds=1)
 
-LOST_ERRORS = (RequestTransmissionFailed, ResponseNeverReceived)
-UNSENT_ERRORS = (ConnectError, ConnectionRefusedByBudgetError, RequestNotSent)
+CONNECTION_LOST_ERRORS = (RequestTransmissionFailed, ResponseNeverReceived)
+NOT_SENT_ERRORS = (ConnectError, ConnectionRefusedByBudgetError, RequestNotSent)
 
 
 @final
 @dataclass(frozen=True, slots=True)
 class AttemptFailure:
-    """Why an attempt has no whole answer.
+    """Reason why an attempt has no complete answer.
 
+    :param failure: result for the caller.
+    :param outcome: outcome that the choice of workers records.
     :param worker_lost: whether the connection was lost after the request was
-        sent and before any byte of the answer.
+        sent and before the first byte of the answer.
     """
 
     failure: Failure
@@ -72,12 +74,12 @@
 
 
 class AnswerTooLargeError(Exception):
-    """An answer is larger than an instance holds in memory."""
+    """The answer exceeds the maximum size that an instance holds in memory."""
 
 
 @final
 class _BodyReceiver(Protocol):
-    """Collects a body and accepts it only if its end is certain."""
+    """Collects a response body and rejects it if its end is not certain."""
 
     def __init__(self) -> None:
         self.done: Deferred[bytes] = Deferred(self._abort)
@@ -85,16 +87,16 @@
         self._size = 0
 
     def dataReceived(self, data: bytes) -> None:
-        """Keep a part of the body within the bound."""
+        """Append a part of the body, or abort when the body is too large."""
         self._size += len(data)
-        if self._size <= MAXIMUM_ANSWER_BYTES:
+        if self._size <= MAX_ANSWER_BYTES:
             self._parts.append(data)
         elif not self.done.called:
             self.done.errback(AnswerTooLargeError())
             self._abort(self.done)
 
     def connectionLost(self, reason: TwistedFailure = connectionDone) -> None:
-        """Hand over the body if the framing says that it is whole."""
+        """Complete the body if its framing shows that nothing is missing."""
         if self.done.called:
             return
         if reason.check(ResponseDone):
@@ -103,18 +105,18 @@
             self.done.errback(reason)
 
     def _abort(self, _: Deferred[bytes]) -> None:
-        # The library's proxy of the transport has no way to abort, but nothing
-        # is left to be written, so that the connection closes at once.
+        # Twisted's transport proxy has no abortConnection. Nothing is left to
+        # be written, so that loseConnection closes at once.
         if self.transport is not None:
             self.transport.loseConnection()
 
 
 @final
 class UpstreamClient:
-    """Sends requests and accepts only whole answers to these requests.
+    """Sends requests and accepts only complete answers that belong to them.
 
-    The agent is used without treq's client, which keeps one cookie jar for
-    all callers and decodes compressed bodies.
+    Uses the agent directly, because treq's client shares one cookie jar
+    between all callers and decodes compressed bodies.
 
     :param budget_for: returns the connection budget of an address.
     """
@@ -124,10 +126,10 @@
     ) -> None:
         self._reactor = reactor
         pool = HTTPConnectionPool(reactor)
-        # A request is sent again only when a retry rule decides so.
+        # Only the retry rule of a service may repeat a request.
         pool.retryAutomatically = False
-        pool.maxPersistentPerHost = IDLE_CONNECTIONS
-        pool.cachedConnectionTimeout = IDLE_LIMIT_S
+        pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS
+        pool.cachedConnectionTimeout = IDLE_TIMEOUT_S
         self._pool = pool
         endpoints = BudgetedEndpoints(reactor, budget_for)
         self.agent = Agent.usingEndpointFactory(reactor, endpoints, pool)
@@ -140,7 +142,7 @@
     async def send(
         self, call: Call, worker: Worker, remaining: timedelta
     ) -> AttemptResult:
-        """Send a call to a worker and wait for the whole answer.
+        """Send a call to a worker and wait for the complete answer.
 
         :param remaining: time until the deadline of the call.
         """
@@ -157,51 +159,51 @@
 
 @final
 class _Exchange:
-    """State of one request and its answer."""
+    """One request to a worker and its answer."""
 
     def __init__(self, call: Call, worker: Worker) -> None:
         self._call = call
         self._worker = worker
         self._expired = False
-        self._answering = False
+        self._response_started = False
         self.cancel: Callable[[], None] = lambda: None
 
     def expire(self) -> None:
-        """Give up because the deadline has passed."""
+        """Cancel the exchange because the deadline has passed."""
         self._expired = True
         self.cancel()
 
     async def run(self, agent: Agent, remaining: timedelta) -> AttemptResult:
-        """Send the request and turn every end of it into a result."""
+        """Send the request and convert each way it can end into a result."""
         call = self._call
         url = f"http://{self._worker.address}{call.path}".encode("latin-1")
         headers = _request_headers(call, remaining)
         body = BytesProducer(call.body) if call.body else None
         try:
             response = await agent.request(call.method.encode(), url, headers, body)
-            self._answering = True
+            self._response_started = True
             receiver = _BodyReceiver()
             response.deliverBody(receiver)
             content = await receiver.done
         except ValueError as exc:
             return self._malformed(exc)
-        except UNSENT_ERRORS as exc:
-            return self._unsent(exc)
+        except NOT_SENT_ERRORS as exc:
+            return self._not_sent(exc)
         except ConnectingCancelledError:
-            return self._stopped(Ran.NO)
+            return self._interrupted(Ran.NO)
         except CancelledError:
-            return self._stopped(Ran.UNKNOWN)
+            return self._interrupted(Ran.UNKNOWN)
         except Exception as exc:
-            return self._broken(exc)
+            return self._connection_failed(exc)
         return self._accept(response, content)
 
     def _accept(self, response: IResponse, content: bytes) -> AttemptResult:
-        headers = tuple(_pairs(response.headers))
-        echoed = response.headers.getRawHeaders(IDENTIFIER_HEADER, [])
+        headers = tuple(_header_pairs(response.headers))
+        echoed = response.headers.getRawHeaders(REQUEST_ID_HEADER, [])
         if echoed and echoed != [self._call.id.encode()]:
-            detail = f"{self._worker.name} answered another request"
+            detail = f"{self._worker.name} returned the answer to another request"
             return self._failed(Failure(ErrorKind.UPSTREAM_FAILED, detail))
-        if response.headers.getRawHeaders(NOT_RUN_HEADER) == [b"no"]:
+        if response.headers.getRawHeaders(REQUEST_RAN_HEADER) == [b"no"]:
             detail = f"{self._worker.name} shed the request"
             failure = Failure(ErrorKind.UPSTREAM_SHED, detail, Ran.NO, SHED_RETRY_AFTER)
             return Error(AttemptFailure(failure, Outcome.SHED))
@@ -210,12 +212,12 @@
             headers=end_to_end(headers),
             body=content,
             answers=echoed[0].decode("latin-1") if echoed else "",
-            length=self._announced_length(response),
+            length=self._stated_length(response),
         )
         return Ok(answer)
 
-    def _announced_length(self, response: IResponse) -> int | None:
-        # An answer to HEAD announces the length of a body that it leaves out.
+    def _stated_length(self, response: IResponse) -> int | None:
+        # The answer to HEAD states the length of a body that it omits.
         if self._call.method == "HEAD" or not isinstance(response.length, int):
             return None
         return response.length
@@ -224,24 +226,24 @@
         failure = Failure(ErrorKind.BAD_REQUEST, str(exc), Ran.NO)
         return Error(AttemptFailure(failure, Outcome.CANCELLED))
 
-    def _unsent(self, exc: Exception) -> AttemptResult:
+    def _not_sent(self, exc: Exception) -> AttemptResult:
         detail = f"no connection to {self._worker.name}: {exc}"
         return self._failed(Failure(ErrorKind.UPSTREAM_FAILED, detail, Ran.NO))
 
-    def _stopped(self, ran: Ran) -> AttemptResult:
+    def _interrupted(self, ran: Ran) -> AttemptResult:
         if self._expired:
             detail = f"{self._worker.name} did not answer in time"
             failure = Failure(ErrorKind.DEADLINE_PASSED, detail, ran)
             return Error(AttemptFailure(failure, Outcome.LATE))
-        failure = Failure(ErrorKind.CANCELLED, "the caller went away", ran)
+        failure = Failure(ErrorKind.CANCELLED, "the caller disconnected", ran)
         return Error(AttemptFailure(failure, Outcome.CANCELLED))
 
-    def _broken(self, exc: Exception) -> AttemptResult:
+    def _connection_failed(self, exc: Exception) -> AttemptResult:
         if self._expired or _was_cancelled(exc):
-            return self._stopped(Ran.UNKNOWN)
+            return self._interrupted(Ran.UNKNOWN)
         detail = f"{self._worker.name} failed: {type(exc).__name__}"
         failure = Failure(ErrorKind.UPSTREAM_FAILED, detail, Ran.UNKNOWN)
-        lost = isinstance(exc, LOST_ERRORS) and not self._answering
+        lost = isinstance(exc, CONNECTION_LOST_ERRORS) and not self._response_started
         return Error(AttemptFailure(failure, Outcome.FAILED, worker_lost=lost))
 
     def _failed(self, failure: Failure) -> AttemptResult:
@@ -260,14 +262,14 @@
         headers.addRawHeader(name.encode("latin-1"), value.encode("latin-1"))
     if call.key is not None:
         headers.setRawHeaders(b"Idempotency-Key", [call.key.encode()])
-    headers.setRawHeaders(IDENTIFIER_HEADER, [call.id.encode()])
+    headers.setRawHeaders(REQUEST_ID_HEADER, [call.id.encode()])
     timeout = f"{remaining.total_seconds():.3f}".encode()
     headers.setRawHeaders(b"Request-Timeout", [timeout])
     return headers
 
 
-def _pairs(headers: HttpHeaders) -> Iterator[tuple[str, str]]:
-    own = IDENTIFIER_HEADER.lower()
+def _header_pairs(headers: HttpHeaders) -> Iterator[tuple[str, str]]:
+    request_id = REQUEST_ID_HEADER.lower()
     for name, values in headers.getAllRawHeaders():
-        if name.lower() != own:
+        if name.lower() != request_id:
             yield from ((name.decode("latin-1"), v.decode("latin-1")) for v in values)
--- a/packages/daemon/src/sycamorenotch_daemon/_upstreams.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_upstreams.py
@@ -1,4 +1,4 @@
-"""The upstream workers that this instance uses, service by service."""
+"""Upstream workers of each service and their connection budgets."""
 
 from __future__ import annotations
 
@@ -24,39 +24,39 @@
 from sycamorenotch_policies import ConnectionBudget
 from sycamorenotch_policies import UpstreamChoice
 
-RECOUNT_INTERVAL_S = 1.0
+RESIZE_INTERVAL_S = 1.0
 
 
 @components.register("upstreams")
 @final
 class Upstreams:
-    """Holds one choice for each service of the configuration in force."""
+    """Keeps the choice of workers for each service of the configuration in force."""
 
     after: ClassVar[tuple[str, ...]] = ("configuration", "drains", "instances")
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        self._view = node.require(InstanceView)  # type: ignore[type-abstract]
+        self._instance_view = node.require(InstanceView)  # type: ignore[type-abstract]
         self._choices: dict[str, UpstreamChoice] = {}
-        self._names: dict[str, str] = {}
+        self._policy_names: dict[str, str] = {}
         self._budgets: dict[str, ConnectionBudget] = {}
         self._workers: Mapping[str, Worker] = {}
         self._leaving: set[str] = set()
         self._regions: dict[str, tuple[str, ...]] = {}
         self.client = UpstreamClient(node.reactor, self.budget)
-        self._recount = LoopingCall(self._resize)
-        self._recount.clock = node.reactor
+        self._resize_timer = LoopingCall(self._resize)
+        self._resize_timer.clock = node.reactor
         node.provide(Upstreams, self)
         node.configuration.subscribe(self._on_configuration)
 
     async def start(self) -> None:
-        """Start to follow the number of live instances."""
-        self._recount.start(RECOUNT_INTERVAL_S)
+        """Start to update the budgets when the number of live instances changes."""
+        self._resize_timer.start(RESIZE_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Stop following the number of instances and close idle connections."""
-        if self._recount.running:
-            self._recount.stop()
+        """Stop the updates and close the idle connections."""
+        if self._resize_timer.running:
+            self._resize_timer.stop()
         await self.client.close()
 
     @property
@@ -89,43 +89,51 @@
             self._regions[service] = tuple(weights)
 
     def report_leaving(self, worker: str, leaving: bool) -> None:
-        """Take in whether a worker says that it is leaving."""
+        """Record whether a worker reports that it is leaving.
+
+        :param leaving: whether the worker must get no new requests.
+        """
         if leaving:
             self._leaving.add(worker)
         else:
             self._leaving.discard(worker)
         if worker in self._workers:
-            self._mark(self._workers[worker])
+            self._update_worker_state(self._workers[worker])
 
     def live_instances(self, region: str | None = None) -> int:
         """Return the number of live instances, at least 1.
 
         :param region: count only the instances of this region.
         """
-        live = (i for i in self._view.instances() if i.state is InstanceState.LIVE)
+        live = (
+            i for i in self._instance_view.instances() if i.state is InstanceState.LIVE
+        )
         return max(1, sum(region in (None, item.region) for item in live))
 
     def _on_configuration(self, in_force: InForce) -> None:
         environment = in_force.environment
         now = self._node.clock.monotonic()
         name = environment.policies["choice"]
-        wanted = dict(_by_service(environment))
+        workers_by_service = dict(_group_by_service(environment))
         for service in environment.services:
-            # Another rule starts from nothing; the same rule keeps its state.
-            if self._names.get(service) != name:
+            # A different policy starts without state; the same one keeps it.
+            if self._policy_names.get(service) != name:
                 self._choices[service] = self._build(name, environment, service)
-                self._names[service] = name
-            self._choices[service].update(wanted.get(service, ()), now)
+                self._policy_names[service] = name
+            self._choices[service].update(workers_by_service.get(service, ()), now)
         for service in self._choices.keys() - environment.services.keys():
-            del self._choices[service], self._names[service]
+            del self._choices[service], self._policy_names[service]
         self._workers = environment.workers
         for worker in self._workers.values():
-            self._mark(worker)
+            self._update_worker_state(worker)
         self._leaving &= self._workers.keys()
         self._update_budgets()
 
-    def _mark(self, worker: Worker) -> None:
-        """Stop new work on a worker that leaves or that operators drain."""
+    def _update_worker_state(self, worker: Worker) -> None:
+        """Stop or allow new requests to a worker.
+
+        A worker that is leaving or that operators drain gets none.
+        """
         table = self._choices[worker.service].table
         now = self._node.clock.monotonic()
         drained = self._node.require(Drains).covers_worker(worker)
@@ -166,7 +174,9 @@
         self._update_budgets()
 
 
-def _by_service(environment: Environment) -> Iterator[tuple[str, tuple[Worker, ...]]]:
+def _group_by_service(
+    environment: Environment,
+) -> Iterator[tuple[str, tuple[Worker, ...]]]:
     ordered = sorted(environment.workers.values(), key=lambda w: w.service)
     for service, workers in groupby(ordered, key=lambda w: w.service):
         yield service, tuple(workers)
--- a/packages/daemon/src/sycamorenotch_daemon/_worker_news.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_worker_news.py
@@ -1,4 +1,4 @@
-"""What instances tell the holder about the upstream workers near them."""
+"""Worker states that instances report to the lease holder."""
 
 from __future__ import annotations
 
@@ -22,20 +22,22 @@
 
 
 def news_of_workers(node: Node) -> tuple[WorkerNews, ...]:
-    """Return what this instance knows of the workers of its own region.
+    """Return the observed states of the workers in the instance's own region.
 
-    Another region's workers are left to the instances there, which a cut
-    between the regions does not keep from them.
+    Instances in the other regions report the workers there, because a network
+    partition between regions does not separate them from their workers.
     """
     upstreams = node.find(Upstreams)
     current = node.configuration.current
     if upstreams is None or current is None:
         return ()
     now = node.clock.monotonic()
-    return tuple(_news(upstreams, node.settings.region, current.environment, now))
+    return tuple(
+        _worker_states(upstreams, node.settings.region, current.environment, now)
+    )
 
 
-def _news(
+def _worker_states(
     upstreams: Upstreams, region: str, environment: Environment, now: timedelta
 ) -> Iterator[WorkerNews]:
     for service in sorted(environment.services):
@@ -62,36 +64,48 @@
 
 @final
 class FleetWorkers:
-    """The last news of every worker from each instance."""
+    """Latest worker states reported by each instance."""
 
     def __init__(self) -> None:
-        self._news: dict[InstanceId, tuple[WorkerNews, ...]] = {}
-        self._at: dict[InstanceId, timedelta] = {}
+        self._worker_states: dict[InstanceId, tuple[WorkerNews, ...]] = {}
+        self._received_at: dict[InstanceId, timedelta] = {}
 
     def report(
         self, instance: InstanceId, news: tuple[WorkerNews, ...], now: timedelta
     ) -> None:
-        """Replace the news from an instance."""
-        self._news[instance] = news
-        self._at[instance] = now
+        """Replace the states reported by an instance.
+
+        :param now: time of the report on the monotonic clock.
+        """
+        self._worker_states[instance] = news
+        self._received_at[instance] = now
 
     def reports(
         self, listed: Iterable[InstanceId], now: timedelta
     ) -> tuple[WorkerReport, ...]:
-        """Return one report for each worker that any listed instance knows."""
+        """Return one merged report for each worker that a listed instance reported.
+
+        Reports of instances that are no longer listed are discarded.
+        """
         present = set(listed)
-        self._news = {n: items for n, items in self._news.items() if n in present}
-        self._at = {n: at for n, at in self._at.items() if n in present}
-        found: defaultdict[str, list[tuple[WorkerNews, timedelta]]] = defaultdict(list)
-        for instance, items in self._news.items():
-            silence = now - self._at[instance]
+        self._worker_states = {
+            n: items for n, items in self._worker_states.items() if n in present
+        }
+        self._received_at = {
+            n: at for n, at in self._received_at.items() if n in present
+        }
+        by_worker: defaultdict[str, list[tuple[WorkerNews, timedelta]]] = defaultdict(
+            list
+        )
+        for instance, items in self._worker_states.items():
+            elapsed = now - self._received_at[instance]
             for item in items:
-                found[item.worker].append((item, silence + item.age * MILLISECOND))
-        return tuple(_merge(name, found[name]) for name in sorted(found))
+                by_worker[item.worker].append((item, elapsed + item.age * MILLISECOND))
+        return tuple(_merge(name, by_worker[name]) for name in sorted(by_worker))
 
 
 def _merge(worker: str, news: list[tuple[WorkerNews, timedelta]]) -> WorkerReport:
-    # One instance that cannot reach a worker does not take it out for all.
+    # A single instance that cannot reach a worker must not exclude it for all.
     newest, age = min(news, key=lambda pair: pair[1])
     failures = sum(item.failures for item, _ in news) / len(news) / SHARE_SCALE
     return WorkerReport(
--- a/testing/daemon/calls/conftest.py
+++ b/testing/daemon/calls/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of single calls."""
+"""Fixtures for the tests of single calls."""
 
 from __future__ import annotations
 
@@ -25,7 +25,12 @@
 
 @dataclass
 class ScriptedUpstream(Factory):
-    """Listens on loopback and answers each request with the same bytes."""
+    """Server on the loopback interface that answers every request alike.
+
+    :param answer: bytes of each answer.
+    :param close: whether to close the connection after an answer.
+    :param abort: whether to reset the connection after an answer.
+    """
 
     answer: bytes = b""
     close: bool = False
--- a/testing/daemon/calls/test_answer_invariant.py
+++ b/testing/daemon/calls/test_answer_invariant.py
@@ -1,4 +1,4 @@
-"""Tests of the assertion that an answer is whole and belongs to its request."""
+"""Tests of invariant I4: an answer is complete and belongs to its request."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         pytest.param(CallAnswer(200, (), b"who", "", 5), id="cut short"),
     ],
 )
-def test_answer_is_refused_when_client_lets_a_wrong_one_through(
+def test_answer_is_refused_when_client_accepts_a_wrong_one(
     monkeypatch: pytest.MonkeyPatch, answer: CallAnswer
 ) -> None:
     async def send(self: UpstreamClient, *args: object) -> object:
@@ -27,7 +27,7 @@
 
     monkeypatch.setattr(UpstreamClient, "send", send)
     system = VirtualSystem(soak_document(), instances=1)
-    system.wait(_settled(system))
+    system.wait(_request_health(system))
     reply = system.call("entry-west-a", "GET", "/v1/call/lookup/urgent/1")
     system.close()
     assert (reply.status, reply.json()["kind"]) == (500, "invariant")
@@ -36,5 +36,5 @@
     assert "invariant.violated" in names
 
 
-async def _settled(system: VirtualSystem) -> Reply:
+async def _request_health(system: VirtualSystem) -> Reply:
     return await system.request("entry-west-a", "GET", "/healthz")
--- a/testing/daemon/calls/test_call_path.py
+++ b/testing/daemon/calls/test_call_path.py
@@ -1,4 +1,4 @@
-"""Tests of whole calls through the example while upstreams misbehave."""
+"""Tests of complete calls through the local example with faulty workers."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 @pytest.fixture
 def workers(example):
-    """Workers of the balance service near the only instance."""
+    """Workers of the balance service in the region of the only instance."""
     settings = example.daemons[0].node.settings
     deployed = example.environment.workers_of("balance")
     names = [w.name for w in deployed if w.region == settings.region]
-    found = [example.workers[name] for name in names]
-    yield found
-    for worker in found:
+    nearby_workers = [example.workers[name] for name in names]
+    yield nearby_workers
+    for worker in nearby_workers:
         worker.fault.set("none", 0, None)
 
 
@@ -75,7 +75,7 @@
     run_in_reactor(scenario())
 
 
-def test_neighbours_are_served_when_a_poison_request_comes_again(
+def test_other_requests_are_served_when_a_poison_request_is_repeated(
     workers, call, run_in_reactor
 ) -> None:
     for worker in workers:
@@ -91,7 +91,7 @@
     run_in_reactor(scenario())
 
 
-def test_partial_answer_is_an_error_when_every_worker_cuts_it(
+def test_call_fails_when_every_worker_truncates_the_answer(
     workers, call, run_in_reactor
 ) -> None:
     for worker in workers:
@@ -105,7 +105,7 @@
     run_in_reactor(scenario())
 
 
-def test_draining_worker_gets_no_new_work_after_the_bound(
+def test_draining_worker_gets_no_request_when_the_bound_has_passed(
     example, workers, call, run_in_reactor
 ) -> None:
     workers[0].fault.set("drain", 0, None)
@@ -114,15 +114,15 @@
         bound = example.environment.bounds.leaving
         await deferLater(reactor, bound.total_seconds())
         served = [await call(f"balance/balances/{n}") for n in range(40)]
-        names = Counter(body["worker"] for _, body in served)
-        assert workers[0].name not in names
-        choice = example.daemons[0].node
-        assert not any(choice.invariants.violations.values())
+        requests_by_worker = Counter(body["worker"] for _, body in served)
+        assert workers[0].name not in requests_by_worker
+        node = example.daemons[0].node
+        assert not any(node.invariants.violations.values())
 
     run_in_reactor(scenario())
 
 
-def test_flood_is_refused_early_as_not_run(
+def test_excess_calls_are_refused_as_not_run_when_workers_are_slow(
     example, workers, call, run_in_reactor
 ) -> None:
     for worker in workers:
@@ -137,22 +137,22 @@
             for n in range(150)
         ]
         results = await gatherResults(calls)
-        counted = Counter(response.code for response, _ in results)
+        statuses = Counter(response.code for response, _ in results)
         refused = [r for r in results if r[0].code == 503]
-        assert counted[200] > 0 and refused
+        assert statuses[200] > 0 and refused
         assert {body["ran"] for _, body in refused} == {"no"}
         assert all(r.headers.hasHeader("Retry-After") for r, _ in refused)
-        assert sum(worker.served for worker in workers) - before >= counted[200]
+        assert sum(worker.served for worker in workers) - before >= statuses[200]
 
     run_in_reactor(scenario())
 
 
-def test_work_stops_when_the_caller_goes_away(
+def test_upstream_request_is_cancelled_when_the_caller_disconnects(
     example, workers, call, run_in_reactor
 ) -> None:
     for worker in workers:
         worker.fault.set("slow", 30, None, "/balances/slow")
-    node_calls = example.daemons[0]
+    daemon = example.daemons[0]
 
     async def scenario() -> None:
         calling = Deferred.fromCoroutine(call("balance/balances/slow"))
@@ -160,7 +160,7 @@
             await deferLater(reactor, 0.005)
         calling.addErrback(lambda _: None)
         calling.cancel()
-        upstreams = node_calls.node.require(Upstreams)
+        upstreams = daemon.node.require(Upstreams)
         states = upstreams.choice("balance").table.states.values()
         while any(state.in_flight for state in states):
             await deferLater(reactor, 0.005)
--- a/testing/daemon/calls/test_retry_stage.py
+++ b/testing/daemon/calls/test_retry_stage.py
@@ -1,4 +1,4 @@
-"""Tests of what a caller is told after several attempts."""
+"""Tests of the result of a call after several attempts."""
 
 from __future__ import annotations
 
@@ -40,15 +40,15 @@
         ([NONE_LEFT], True, ErrorKind.NO_UPSTREAM, Ran.NO, 1),
     ],
 )
-def test_caller_is_told_the_worst_of_all_attempts(
+def test_failure_combines_what_is_known_when_attempts_fail(
     stage, make_call, run_in_reactor, failures, idempotent, kind, ran, attempts
 ) -> None:
-    seen = SimpleNamespace(attempts=0)
+    counter = SimpleNamespace(attempts=0)
 
     async def proceed(call: Call) -> CallResult:
-        seen.attempts += 1
-        return Error(failures[seen.attempts - 1])
+        counter.attempts += 1
+        return Error(failures[counter.attempts - 1])
 
     result = run_in_reactor(stage.run(make_call(idempotent), proceed))
     assert (result.error.kind, result.error.stated_ran) == (kind, ran)
-    assert seen.attempts == attempts
+    assert counter.attempts == attempts
--- a/testing/daemon/calls/test_stop.py
+++ b/testing/daemon/calls/test_stop.py
@@ -1,4 +1,4 @@
-"""Tests of a planned stop under load."""
+"""Tests of a graceful stop under load."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     run_in_reactor(example.stop())
 
 
-def test_stop_cuts_nothing_and_serves_until_answers_have_run_out(
+def test_stop_completes_calls_and_serves_until_cached_answers_expire(
     example, run_in_reactor
 ) -> None:
     (daemon,) = example.daemons
@@ -41,8 +41,8 @@
         slow = Deferred.fromCoroutine(call("slow"))
         await deferLater(reactor, 0.1)
         stopping = Deferred.fromCoroutine(daemon.stop())
-        found = await treq.get(f"{callers}/v1/lookup?service=balance&client=10.1.0.7")
-        assert found.code == 503
+        lookup = await treq.get(f"{callers}/v1/lookup?service=balance&client=10.1.0.7")
+        assert lookup.code == 503
         assert await call("new") == 200
         assert await slow == 200
         await stopping
--- a/testing/daemon/calls/test_strike_exchange.py
+++ b/testing/daemon/calls/test_strike_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of a poison request that is sent through one instance after another."""
+"""Tests of a poison request that is sent to one instance after another."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     run_in_reactor(example.stop())
 
 
-def test_request_is_held_back_at_every_instance_after_strikes_at_one(
+def test_request_is_quarantined_at_every_instance_after_strikes_at_one(
     example, run_in_reactor
 ) -> None:
     for worker in example.workers.values():
--- a/testing/daemon/calls/test_upstream_client.py
+++ b/testing/daemon/calls/test_upstream_client.py
@@ -1,4 +1,4 @@
-"""Tests of exchanges with an upstream that answers badly or not at all."""
+"""Tests of the upstream client with valid, invalid and missing answers."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return send
 
 
-def test_whole_answer_is_handed_on_with_every_header(send, upstream) -> None:
+def test_complete_answer_is_forwarded_with_every_header(send, upstream) -> None:
     upstream.answer = WHOLE.replace(b"\r\n\r\n", b"\r\nX-A: 1\r\nX-A: 2\r\n\r\n")
     answer = send().ok
     assert (answer.status, answer.body) == (200, b"whole")
@@ -50,7 +50,7 @@
     assert b"Request-Timeout: 5.000\r\n" in request
 
 
-def test_no_cookie_of_one_caller_reaches_another(send, upstream) -> None:
+def test_cookie_is_not_sent_when_another_caller_received_it(send, upstream) -> None:
     upstream.answer = WHOLE.replace(b"\r\n\r\n", b"\r\nSet-Cookie: a=b\r\n\r\n")
     assert send().ok.headers == (("Set-Cookie", "a=b"),)
     send()
@@ -71,7 +71,7 @@
         pytest.param(b"nonsense\r\n\r\n", id="no-http"),
     ],
 )
-def test_answer_is_refused_when_it_is_not_whole_or_not_its_own(
+def test_answer_is_refused_when_incomplete_or_of_another_request(
     send, upstream, answer: bytes
 ) -> None:
     upstream.answer, upstream.close = answer, True
@@ -81,7 +81,7 @@
     assert error.outcome is Outcome.FAILED
 
 
-def test_worker_counts_as_lost_when_it_closes_before_its_answer(send, upstream) -> None:
+def test_worker_counts_as_lost_when_it_closes_before_answering(send, upstream) -> None:
     upstream.abort = True
     error = send().error
     assert error.worker_lost
@@ -91,14 +91,14 @@
 def test_request_has_not_run_when_no_connection_was_made(
     client, make_call, make_worker, run_in_reactor
 ) -> None:
-    # Port 9 of loopback has no listener.
+    # Nothing listens on port 9 of the loopback interface.
     worker = make_worker("127.0.0.1:9")
     error = run_in_reactor(client.send(make_call(), worker, LIMIT)).error
     assert error.failure.stated_ran is Ran.NO
     assert not error.worker_lost
 
 
-def test_request_has_not_run_when_the_upstream_says_so(send, upstream) -> None:
+def test_request_has_not_run_when_the_upstream_states_it(send, upstream) -> None:
     upstream.answer = (
         b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nRequest-Ran: no\r\n\r\n"
     )
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("answer", [b"", WHOLE[:-1]], ids=["silent", "half"])
-def test_connection_is_closed_when_the_caller_goes_away(
+def test_connection_is_closed_when_the_caller_disconnects(
     client, upstream, make_call, make_worker, run_in_reactor, answer: bytes
 ) -> None:
     upstream.answer = answer
@@ -144,7 +144,7 @@
     run_in_reactor(scenario())
 
 
-def test_request_has_not_run_when_the_connection_budget_is_used_up(
+def test_request_has_not_run_when_the_connection_budget_is_exhausted(
     upstream, make_call, make_worker, run_in_reactor
 ) -> None:
     budget = ConnectionBudget(1, timedelta(milliseconds=1))
@@ -164,7 +164,7 @@
     assert upstream.opened == 1
 
 
-def test_connection_is_used_again_when_answers_are_whole(send, upstream) -> None:
+def test_connection_is_reused_when_answers_are_complete(send, upstream) -> None:
     upstream.answer = WHOLE
     assert all(send().is_ok() for _ in range(3))
     assert upstream.opened == 1
--- a/testing/daemon/claims/conftest.py
+++ b/testing/daemon/claims/conftest.py
@@ -1,4 +1,4 @@
-"""Fakes around the claim stage: a store that loses answers, an upstream."""
+"""Fakes for the tests of claims: a store and an upstream with injected faults."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 class Loss(Enum):
-    """Where a store call goes wrong."""
+    """Injected fault of one store call."""
 
     NONE = "none"
     DOWN = "down"
@@ -68,14 +68,18 @@
 
 
 class FlakyStore:
-    """Store over a shared table whose next calls go wrong as told."""
+    """Store over a shared table with injected faults.
+
+    ``losses`` holds the faults of the next calls and ``always`` the fault of
+    every later one.
+    """
 
     def __init__(self, table: ObjectTable) -> None:
         self.table = table
         self.losses: deque[Loss] = deque()
         self.always = Loss.NONE
         self.calls: Counter[str] = Counter()
-        self.hung: list[Deferred[None]] = []
+        self.suspended: list[Deferred[None]] = []
         self.late: list[Callable[[], object]] = []
 
     async def get(self, kind: str, name: str, timeout: timedelta) -> Any:
@@ -107,13 +111,13 @@
         await Deferred()
 
     def resume(self) -> None:
-        """Let every call that hangs go on."""
-        hung, self.hung = self.hung, []
-        for waiting in hung:
+        """Resume every suspended call."""
+        suspended, self.suspended = self.suspended, []
+        for waiting in suspended:
             waiting.callback(None)
 
     def arrive(self) -> None:
-        """Let every late write take effect."""
+        """Apply every delayed write."""
         late, self.late = self.late, []
         for perform in late:
             perform()
@@ -124,7 +128,7 @@
 
     async def _hang(self) -> None:
         waiting: Deferred[None] = Deferred()
-        self.hung.append(waiting)
+        self.suspended.append(waiting)
         await waiting
 
     async def _read(self, call: str, perform: Callable[[], Any]) -> Any:
@@ -154,7 +158,7 @@
 
 
 class Outcome(Enum):
-    """What the upstream does with a request."""
+    """Reaction of the upstream to a request."""
 
     WHOLE = "runs and answers"
     SHED = "states that it did not run"
@@ -177,19 +181,19 @@
 
 
 class Upstream:
-    """Counts executions by key and by attempt to send."""
+    """Upstream that counts the executions by key and by call."""
 
     def __init__(self) -> None:
         self.outcomes: deque[Outcome] = deque()
         self.by_key: Counter[str] = Counter()
         self.by_call: Counter[str] = Counter()
-        self.hung: list[Deferred[None]] = []
+        self.suspended: list[Deferred[None]] = []
 
     async def proceed(self, call: Call) -> CallResult:
         outcome = self.outcomes.popleft() if self.outcomes else Outcome.WHOLE
         if outcome is Outcome.HUNG:
             waiting: Deferred[None] = Deferred()
-            self.hung.append(waiting)
+            self.suspended.append(waiting)
             await waiting
         if outcome not in (Outcome.SHED, Outcome.UNREACHED, Outcome.LOST):
             self.by_key[call.key or ""] += 1
@@ -200,14 +204,14 @@
         return Ok(CallAnswer(200, headers, f"answer to {call.key}".encode()))
 
     def resume(self) -> None:
-        """Let every request that hangs run."""
-        hung, self.hung = self.hung, []
-        for waiting in hung:
+        """Run every suspended request."""
+        suspended, self.suspended = self.suspended, []
+        for waiting in suspended:
             waiting.callback(None)
 
 
 class Instance:
-    """One instance with a claim stage, over its own store connection."""
+    """Instance with a claim stage and its own connection to the store."""
 
     def __init__(self, name: str, table: ObjectTable, clock: Clock) -> None:
         self.store = FlakyStore(table)
@@ -249,7 +253,7 @@
 
 
 class Sending:
-    """One request on its way, and its result when there is one."""
+    """Request in flight, and its result when it has ended."""
 
     def __init__(self, instance: Instance, upstream: Upstream, call: Call) -> None:
         self.instance = instance
@@ -264,13 +268,13 @@
 
     @property
     def statement(self) -> tuple[str, str]:
-        """The kind and the statement about execution of a refusal."""
+        """Error kind of a refusal and what it states about the execution."""
         failure = self.result.error
         return failure.kind.value, failure.stated_ran.value
 
 
 class Fleet:
-    """Instances over one table, one virtual clock and one upstream."""
+    """Instances that share one table, one virtual clock and one upstream."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -286,7 +290,7 @@
         self.clock.pump([0.05] * round(seconds / 0.05))
 
     def send(self, instance: Instance, **call: Any) -> Sending:
-        """Send a request and let its deadline pass."""
+        """Send a request and advance the clock past its deadline."""
         sending = instance.send(self.upstream, instance.call(**call))
         self.pass_time(call.get("timeout", 2.0) + 0.5)
         return sending
--- a/testing/daemon/claims/test_claim_codec.py
+++ b/testing/daemon/claims/test_claim_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the stored form of claims."""
+"""Tests of the encoding of stored claims."""
 
 from __future__ import annotations
 
@@ -52,7 +52,9 @@
 @pytest.mark.parametrize(
     "change", [{"format": 2}, {"state": "later"}, {"state": "done"}, {"more": 1}]
 )
-def test_decoding_fails_when_a_field_is_not_known(change: dict[str, object]) -> None:
+def test_decoding_fails_when_a_field_or_value_is_invalid(
+    change: dict[str, object],
+) -> None:
     fields = msgpack.unpackb(encode_claim(CLAIM)) | change
     assert decode_claim(msgpack.packb(fields)).is_error()
 
@@ -62,6 +64,6 @@
     assert len(places) == 6
 
 
-def test_states_differ_only_in_state() -> None:
+def test_only_state_differs_when_a_claim_is_released_or_unknown() -> None:
     assert CLAIM.released() == replace(CLAIM, state=ClaimState.RELEASED)
     assert CLAIM.unknown() == replace(CLAIM, state=ClaimState.UNKNOWN)
--- a/testing/daemon/claims/test_claim_collector.py
+++ b/testing/daemon/claims/test_claim_collector.py
@@ -1,4 +1,4 @@
-"""Tests of the removal of claims past their lifetime."""
+"""Tests of the removal of expired claims."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class OneInstance:
-    """A list that names only the collecting instance."""
+    """Instance list with only the collecting instance."""
 
     def instances(self) -> tuple[ListedInstance, ...]:
         live = InstanceState.LIVE
@@ -63,7 +63,7 @@
     return [stored.name for stored in fleet.table.list(claim_kind(0))]
 
 
-def test_only_claims_past_their_lifetime_are_removed_in_bounded_steps(
+def test_only_expired_claims_are_removed_in_bounded_steps(
     fleet: Any, collector: ClaimCollector
 ) -> None:
     store_claims(fleet, EXPIRED, timedelta(days=2), "first")
@@ -74,7 +74,7 @@
     assert names(fleet) == ["second.0.0", "second.0.1"]
 
 
-def test_no_claim_is_removed_when_only_this_instance_tells_the_time(
+def test_no_claim_is_removed_when_only_own_claims_show_the_time(
     fleet: Any, collector: ClaimCollector
 ) -> None:
     store_claims(fleet, 3, timedelta(days=2), "second")
--- a/testing/daemon/claims/test_claim_machine.py
+++ b/testing/daemon/claims/test_claim_machine.py
@@ -1,4 +1,4 @@
-"""Random runs of several instances against one store and one upstream."""
+"""Stateful tests of several instances with one store and one upstream."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
 
         @rule(index=st.integers(0, INSTANCES - 1))
         def kill(self, index: int) -> None:
-            # Writes of the killed instance can still be on their way.
+            # Writes of the killed instance may still be in flight.
             self.instances[index] = self.new_instance()
 
         @rule(position=st.integers(0, 9))
--- a/testing/daemon/claims/test_claim_stage.py
+++ b/testing/daemon/claims/test_claim_stage.py
@@ -1,4 +1,4 @@
-"""Tests of the claim stage at every place where something can be lost."""
+"""Tests of the claim stage with a fault injected at each step."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 LOSSES = ["NONE", "LOST_BEFORE", "LOST_AFTER", "LATE"]
 
 
-def test_call_is_passed_on_without_claim_when_route_is_idempotent(
+def test_call_proceeds_without_claim_when_route_is_idempotent(
     fleet: Any, idempotent_call: Any
 ) -> None:
     sending = fleet.first.send(fleet.upstream, idempotent_call(fleet.first.call()))
@@ -63,7 +63,7 @@
     assert fleet.upstream.by_key == {"key": 1}
 
 
-def test_late_create_is_released_when_its_caller_was_told_no(
+def test_late_create_is_released_when_its_call_was_refused_as_not_run(
     fleet: Any, loss: Any
 ) -> None:
     store = fleet.first.store
@@ -105,7 +105,7 @@
     assert fleet.upstream.by_key == {"key": 1}
 
 
-def test_repeat_at_same_instance_is_not_told_no_when_store_went_down(
+def test_repeat_at_same_instance_is_unknown_when_store_went_down(
     fleet: Any, loss: Any
 ) -> None:
     fleet.send(fleet.first)
@@ -175,7 +175,7 @@
     assert fleet.upstream.by_key == {"key": 1}
 
 
-def test_second_request_is_told_when_to_retry_when_first_is_slow(
+def test_second_request_gets_retry_after_when_first_is_slow(
     fleet: Any, outcome: Any
 ) -> None:
     fleet.upstream.outcomes.append(outcome.HUNG)
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize("name", ["CUT", "CROSSED", "LATE", "LOST"])
-def test_repeat_is_told_unknown_at_once_when_answer_was_not_whole(
+def test_repeat_is_refused_as_unknown_when_answer_was_incomplete(
     fleet: Any, outcome: Any, name: str
 ) -> None:
     fleet.upstream.outcomes.append(outcome[name])
@@ -215,7 +215,7 @@
     assert fleet.second.send(fleet.upstream).statement == HELD_UNKNOWN
 
 
-def test_key_is_refused_when_stored_claim_is_not_valid(fleet: Any) -> None:
+def test_key_is_refused_when_stored_claim_is_invalid(fleet: Any) -> None:
     fleet.send(fleet.first)
     ((kind, name), stored) = next(iter(fleet.table._objects.items()))
     fleet.table.update(kind, name, b"\xc1", stored.version)
--- a/testing/daemon/plan/test_worker_news.py
+++ b/testing/daemon/plan/test_worker_news.py
@@ -1,4 +1,4 @@
-"""Tests of what instances report about upstream workers."""
+"""Tests of the worker states that instances report to the lease holder."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize(
     ("reported", "usable"), [((False, False), False), ((False, True), True)]
 )
-def test_worker_is_out_only_when_every_instance_near_it_says_so(
+def test_worker_is_unusable_only_when_every_instance_reports_it(
     reported: tuple[bool, bool], usable: bool
 ) -> None:
     workers = FleetWorkers()
@@ -36,7 +36,7 @@
     assert report.usable is usable
 
 
-def test_report_is_the_newest_and_its_age_counts_the_silence() -> None:
+def test_report_is_the_newest_and_its_age_includes_time_since_receipt() -> None:
     workers = FleetWorkers()
     workers.report(FIRST, (news(load=100, failures=200),), SECOND)
     workers.report(OTHER, (news(load=900),), 3 * SECOND)
@@ -44,7 +44,7 @@
     assert (report.load, report.age, report.failures) == (0.9, 3 * SECOND, 0.1)
 
 
-def test_news_is_forgotten_when_the_instance_is_no_longer_listed() -> None:
+def test_state_is_discarded_when_the_instance_is_no_longer_listed() -> None:
     workers = FleetWorkers()
     workers.report(FIRST, (news(),), SECOND)
     assert workers.reports((OTHER,), SECOND) == ()
@@ -57,7 +57,7 @@
     assert report.load is None
 
 
-def test_question_is_the_same_when_encoded_and_decoded() -> None:
+def test_question_is_unchanged_when_encoded_and_decoded() -> None:
     demand = DemandReport("balance", "viti-west", Rank.URGENT, 1500)
     question = PlanQuestion(3, 7, (demand,), (news(),))
     assert decode_message(encode_message(question)) == question
--- a/testing/daemon/test_fuzz_borders.py
+++ b/testing/daemon/test_fuzz_borders.py
@@ -1,4 +1,4 @@
-"""Randomised tests of everything that a daemon decodes."""
+"""Property-based tests of the decoders of a daemon."""
 
 from __future__ import annotations
 
--- a/testing/daemon/test_strike_exchange.py
+++ b/testing/daemon/test_strike_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of strikes that instances tell each other."""
+"""Tests of the exchange of quarantine strikes between instances."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 NAMES = (*CONTROL, "strikes")
 
 
-def test_request_is_quarantined_everywhere_when_three_instances_were_struck(
+def test_request_is_quarantined_everywhere_when_three_instances_record_strikes(
     run_in_reactor: Callable[..., Any],
 ) -> None:
     fleet = ControlFleet(reactor, 8, names=NAMES)
