--- a/packages/daemon/src/sycamorenotch_daemon/_admission_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_admission_stage.py
@@ -40,7 +40,7 @@
 EXPIRY_INTERVAL_S = 0.05
 RESIZE_INTERVAL_S = 1.0
 
-OUTCOMES = {
+OUTCOME_BY_ERROR_KIND = {
     ErrorKind.UPSTREAM_SHED: Outcome.SHED,
     ErrorKind.DEADLINE_PASSED: Outcome.LATE,
     ErrorKind.CANCELLED: Outcome.CANCELLED,
@@ -257,7 +257,7 @@
 def _outcome(result: CallResult) -> Outcome:
     if result.is_ok():
         return Outcome.ANSWERED
-    return OUTCOMES.get(result.error.kind, Outcome.FAILED)
+    return OUTCOME_BY_ERROR_KIND.get(result.error.kind, Outcome.FAILED)
 
 
 def _resume(waiting: Deferred[AdmissionDecision], decision: AdmissionDecision) -> None:
--- a/packages/daemon/src/sycamorenotch_daemon/_breaker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_breaker.py
@@ -81,7 +81,7 @@
     def admits(self) -> bool:
         """Return whether a call may be made now.
 
-        The first call allowed after a cool-down is a probe.
+        A half-open breaker allows a single call, which probes the store.
         """
         now = self._clock.monotonic()
         if now >= self._cool_down_ends_at:
--- a/packages/daemon/src/sycamorenotch_daemon/_upstream_client.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_upstream_client.py
@@ -194,7 +194,7 @@
         except CancelledError:
             return self._interrupted(Ran.UNKNOWN)
         except Exception as exc:
-            return self._connection_failed(exc)
+            return self._exchange_failed(exc)
         return self._accept(response, content)
 
     def _accept(self, response: IResponse, content: bytes) -> AttemptResult:
@@ -238,7 +238,7 @@
         failure = Failure(ErrorKind.CANCELLED, "the caller disconnected", ran)
         return Error(AttemptFailure(failure, Outcome.CANCELLED))
 
-    def _connection_failed(self, exc: Exception) -> AttemptResult:
+    def _exchange_failed(self, exc: Exception) -> AttemptResult:
         if self._expired or _was_cancelled(exc):
             return self._interrupted(Ran.UNKNOWN)
         detail = f"{self._worker.name} failed: {type(exc).__name__}"
--- a/testing/daemon/claims/conftest.py
+++ b/testing/daemon/claims/conftest.py
@@ -67,7 +67,7 @@
     HUNG_AFTER = "takes effect, then waits"
 
 
-class FlakyStore:
+class FaultyStore:
     """Store over a shared table with injected faults.
 
     ``losses`` holds the faults of the next calls and ``always`` the fault of
@@ -116,7 +116,7 @@
         for waiting in suspended:
             waiting.callback(None)
 
-    def arrive(self) -> None:
+    def apply_late_writes(self) -> None:
         """Apply every delayed write."""
         late, self.late = self.late, []
         for perform in late:
@@ -214,7 +214,7 @@
     """Instance with a claim stage and its own connection to the store."""
 
     def __init__(self, name: str, table: ObjectTable, clock: Clock) -> None:
-        self.store = FlakyStore(table)
+        self.store = FaultyStore(table)
         self.sink = EventList()
         self.node = Node(
             settings=parse_settings(SETTINGS.format(name=name)),
@@ -248,11 +248,11 @@
             generation=1,
         )
 
-    def send(self, upstream: Upstream, call: Call | None = None) -> Sending:
-        return Sending(self, upstream, call or self.call())
+    def send(self, upstream: Upstream, call: Call | None = None) -> RequestInFlight:
+        return RequestInFlight(self, upstream, call or self.call())
 
 
-class Sending:
+class RequestInFlight:
     """Request in flight, and its result when it has ended."""
 
     def __init__(self, instance: Instance, upstream: Upstream, call: Call) -> None:
@@ -286,13 +286,13 @@
     def instance(self, name: str) -> Instance:
         return Instance(name, self.table, self.clock)
 
-    def pass_time(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.clock.pump([0.05] * round(seconds / 0.05))
 
-    def send(self, instance: Instance, **call: Any) -> Sending:
+    def send(self, instance: Instance, **call: Any) -> RequestInFlight:
         """Send a request and advance the clock past its deadline."""
         sending = instance.send(self.upstream, instance.call(**call))
-        self.pass_time(call.get("timeout", 2.0) + 0.5)
+        self.advance_time(call.get("timeout", 2.0) + 0.5)
         return sending
 
 
--- a/testing/daemon/claims/test_claim_collector.py
+++ b/testing/daemon/claims/test_claim_collector.py
@@ -68,9 +68,9 @@
 ) -> None:
     store_claims(fleet, EXPIRED, timedelta(days=2), "first")
     store_claims(fleet, 2, timedelta(), "second")
-    fleet.pass_time(6)
+    fleet.advance_time(6)
     assert len(names(fleet)) == EXPIRED + 2 - 10
-    fleet.pass_time(30)
+    fleet.advance_time(30)
     assert names(fleet) == ["second.0.0", "second.0.1"]
 
 
@@ -79,7 +79,7 @@
 ) -> None:
     store_claims(fleet, 3, timedelta(days=2), "second")
     store_claims(fleet, 3, timedelta(), "first")
-    fleet.pass_time(60)
+    fleet.advance_time(60)
     assert len(names(fleet)) == 6
 
 
@@ -87,5 +87,5 @@
     fleet: Any, collector: ClaimCollector, loss: Any
 ) -> None:
     fleet.first.store.always = loss.DOWN
-    fleet.pass_time(60)
+    fleet.advance_time(60)
     assert fleet.first.store.calls["list"] == 0
--- a/testing/daemon/claims/test_claim_machine.py
+++ b/testing/daemon/claims/test_claim_machine.py
@@ -75,7 +75,7 @@
 
         @rule(index=st.integers(0, INSTANCES - 1))
         def late_writes_arrive(self, index: int) -> None:
-            self.instances[index].store.arrive()
+            self.instances[index].store.apply_late_writes()
 
         @rule()
         def upstream_resumes(self) -> None:
@@ -93,7 +93,7 @@
 
         @rule(seconds=st.sampled_from([0.1, 1.0, 6.0]))
         def wait(self, seconds: float) -> None:
-            self.fleet.pass_time(seconds)
+            self.fleet.advance_time(seconds)
 
         @invariant()
         def each_key_ran_at_most_once(self) -> None:
--- a/testing/daemon/claims/test_claim_stage.py
+++ b/testing/daemon/claims/test_claim_stage.py
@@ -57,7 +57,7 @@
 ) -> None:
     fleet.first.store.losses.append(loss[name])
     sending = fleet.send(fleet.first)
-    fleet.first.store.arrive()
+    fleet.first.store.apply_late_writes()
     repeat = fleet.send(fleet.second)
     assert sending.result.ok == repeat.result.ok
     assert fleet.upstream.by_key == {"key": 1}
@@ -71,10 +71,10 @@
     store.always = loss.DOWN
     sending = fleet.send(fleet.first)
     assert sending.statement == STORE_NO
-    store.arrive()
+    store.apply_late_writes()
     assert fleet.send(fleet.second).statement == HELD_UNKNOWN
     store.always = loss.NONE
-    fleet.pass_time(60)
+    fleet.advance_time(60)
     assert fleet.send(fleet.second).result.is_ok()
     assert fleet.upstream.by_key == {"key": 1}
 
@@ -98,8 +98,8 @@
     store.losses.extend([loss.NONE, loss[name], loss.DOWN])
     sending = fleet.send(fleet.first)
     assert sending.result.is_ok()
-    fleet.pass_time(60)
-    store.arrive()
+    fleet.advance_time(60)
+    store.apply_late_writes()
     assert fleet.first.settler.waiting == 0
     assert fleet.send(fleet.second).result.ok == sending.result.ok
     assert fleet.upstream.by_key == {"key": 1}
@@ -122,7 +122,7 @@
     sending = fleet.send(fleet.first)
     between = fleet.send(fleet.second)
     fleet.first.store.resume()
-    fleet.pass_time(1)
+    fleet.advance_time(1)
     if name == "HUNG_AFTER":
         assert sending.statement == ("deadline-passed", "no")
         assert between.statement == HELD_UNKNOWN
@@ -167,10 +167,10 @@
     fleet.upstream.outcomes.append(outcome.HUNG)
     first = fleet.first.send(fleet.upstream)
     second = fleet.second.send(fleet.upstream)
-    fleet.pass_time(0.5)
+    fleet.advance_time(0.5)
     assert second.result is None
     fleet.upstream.resume()
-    fleet.pass_time(1)
+    fleet.advance_time(1)
     assert second.result == first.result
     assert fleet.upstream.by_key == {"key": 1}
 
@@ -211,7 +211,7 @@
     fleet.upstream.outcomes.append(outcome.HUNG)
     sending = fleet.first.send(fleet.upstream)
     sending.deferred.cancel()
-    fleet.pass_time(5)
+    fleet.advance_time(5)
     assert fleet.second.send(fleet.upstream).statement == HELD_UNKNOWN
 
 
@@ -242,7 +242,7 @@
     assert first.id == second.id
     fleet.first.send(fleet.upstream, first)
     fleet.second.send(fleet.upstream, second)
-    fleet.pass_time(1)
+    fleet.advance_time(1)
     assert fleet.upstream.by_key == {"key": 1}
 
 
@@ -250,7 +250,7 @@
     fleet: Any,
 ) -> None:
     fleet.first.send(fleet.upstream)
-    fleet.pass_time(1)
+    fleet.advance_time(1)
     fleet.instance("first").send(fleet.upstream)
-    fleet.pass_time(1)
+    fleet.advance_time(1)
     assert fleet.upstream.by_key == {"key": 1}
