--- a/packages/daemon/src/sycamorenotch_daemon/_callers.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_callers.py
@@ -22,7 +22,7 @@
 from sycamorenotch_daemon._lookups import Lookups
 from sycamorenotch_daemon._metrics import MetricsPage
 from sycamorenotch_daemon._node import Node
-from sycamorenotch_daemon._problems import wire_problem
+from sycamorenotch_daemon._problems import rejection_response
 from sycamorenotch_daemon._problems import write_problem
 from sycamorenotch_kernel import Call
 from sycamorenotch_kernel import CallAnswer
@@ -61,7 +61,7 @@
             node.reactor,
             settings.callers_endpoint,
             settings.callers,
-            lambda problem: wire_problem(problem, node.ids.decision()),
+            lambda problem: rejection_response(problem, node.ids.decision()),
         )
 
     async def start(self) -> None:
--- a/packages/daemon/src/sycamorenotch_daemon/_problems.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_problems.py
@@ -37,7 +37,7 @@
     return _encode(failure, decision)
 
 
-def wire_problem(problem: WireProblem, decision: str) -> WireAnswer:
+def rejection_response(problem: WireProblem, decision: str) -> WireAnswer:
     """Return the response to a request that could not be read completely.
 
     :param decision: identifier of the decision to refuse the request.
--- a/testing/transport/test_bounded_requests.py
+++ b/testing/transport/test_bounded_requests.py
@@ -17,7 +17,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import NOT_DONE_YET
 
-from sycamorenotch_daemon._problems import wire_problem
+from sycamorenotch_daemon._problems import rejection_response
 from sycamorenotch_transport import HttpListener
 from sycamorenotch_transport import RequestBounds
 
@@ -54,7 +54,7 @@
 
 def build_listener() -> HttpListener:
     return HttpListener(
-        reactor, "", "127.0.0.1:0", lambda p: wire_problem(p, "d-1"), BOUNDS
+        reactor, "", "127.0.0.1:0", lambda p: rejection_response(p, "d-1"), BOUNDS
     )
 
 
