--- a/packages/daemon/src/sycamorenotch_daemon/_callers.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_callers.py
@@ -18,7 +18,7 @@
 from sycamorenotch_daemon._calls import CallPath
 from sycamorenotch_daemon._configuration import Readiness
 from sycamorenotch_daemon._events import FrontEndFailed
-from sycamorenotch_daemon._headers import end_to_end
+from sycamorenotch_daemon._headers import strip_hop_by_hop_headers
 from sycamorenotch_daemon._lookups import Lookups
 from sycamorenotch_daemon._metrics import MetricsPage
 from sycamorenotch_daemon._node import Node
@@ -182,7 +182,9 @@
         for value in values
     )
     consumed = ("idempotency-key", "request-timeout", "request-id")
-    return tuple((n, v) for n, v in end_to_end(pairs) if n.lower() not in consumed)
+    return tuple(
+        (n, v) for n, v in strip_hop_by_hop_headers(pairs) if n.lower() not in consumed
+    )
 
 
 def _raw_values(req: Request, name: bytes) -> list[str]:
--- a/packages/daemon/src/sycamorenotch_daemon/_headers.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_headers.py
@@ -26,7 +26,7 @@
 )
 
 
-def end_to_end(headers: Iterable[tuple[str, str]]) -> Headers:
+def strip_hop_by_hop_headers(headers: Iterable[tuple[str, str]]) -> Headers:
     """Return the headers without those that apply to a single connection."""
     pairs = tuple(headers)
     connection_options = frozenset(
--- a/packages/daemon/src/sycamorenotch_daemon/_upstream_client.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_upstream_client.py
@@ -30,7 +30,7 @@
 
 from sycamorenotch_daemon._connections import BudgetedEndpoints
 from sycamorenotch_daemon._connections import ConnectionRefusedByBudgetError
-from sycamorenotch_daemon._headers import end_to_end
+from sycamorenotch_daemon._headers import strip_hop_by_hop_headers
 from sycamorenotch_kernel import Call
 from sycamorenotch_kernel import CallAnswer
 from sycamorenotch_kernel import ErrorKind
@@ -209,7 +209,7 @@
             return Error(AttemptFailure(failure, Outcome.SHED))
         answer = CallAnswer(
             status=response.code,
-            headers=end_to_end(headers),
+            headers=strip_hop_by_hop_headers(headers),
             body=content,
             answers=echoed[0].decode("latin-1") if echoed else "",
             length=self._stated_length(response),
