--- a/packages/daemon/src/sycamorenotch_daemon/_burn.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_burn.py
@@ -11,7 +11,7 @@
 from hdrh.histogram import HdrHistogram
 from twisted.internet.task import LoopingCall
 
-from sycamorenotch_daemon._calls import CallPath
+from sycamorenotch_daemon._calls import CallPipeline
 from sycamorenotch_daemon._metrics import outcome_of
 from sycamorenotch_daemon._node import InForce
 from sycamorenotch_daemon._node import Node
@@ -153,7 +153,7 @@
         self._check.clock = node.reactor
         node.provide(BurnRecorder, self)
         node.configuration.subscribe(self._on_configuration)
-        node.require(CallPath).observe(self._on_call)
+        node.require(CallPipeline).observe(self._on_call)
 
     async def start(self) -> None:
         """Start to check the alarms."""
--- a/packages/daemon/src/sycamorenotch_daemon/_callers.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_callers.py
@@ -15,7 +15,7 @@
 from twisted.web.http import Request
 from twisted.web.server import NOT_DONE_YET
 
-from sycamorenotch_daemon._calls import CallPath
+from sycamorenotch_daemon._calls import CallPipeline
 from sycamorenotch_daemon._configuration import Readiness
 from sycamorenotch_daemon._events import FrontEndFailed
 from sycamorenotch_daemon._headers import strip_hop_by_hop_headers
@@ -53,7 +53,7 @@
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        self._calls = node.require(CallPath)
+        self._calls = node.require(CallPipeline)
         self._metrics_page = node.require(MetricsPage)
         self._lookups = Lookups(node)
         settings = node.settings
--- a/packages/daemon/src/sycamorenotch_daemon/_calls.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_calls.py
@@ -30,7 +30,7 @@
 
 @components.register("calls")
 @final
-class CallPath:
+class CallPipeline:
     """Runs calls through the registered stages, ordered by their dependencies."""
 
     after: ClassVar[tuple[str, ...]] = ("instances", "upstreams", "admission", "claims")
@@ -41,7 +41,7 @@
         self._observers: list[CallObserver] = []
         stages = [stage(node) for stage in ordered(call_stages)]
         self._run_stages = reduce(_chain, reversed(stages), _fail_unanswered)
-        node.provide(CallPath, self)
+        node.provide(CallPipeline, self)
 
     async def start(self) -> None:
         """Do nothing, since the components that own the stages start them."""
--- a/packages/daemon/src/sycamorenotch_daemon/_metrics.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_metrics.py
@@ -13,7 +13,7 @@
 from aioprometheus import render
 from aioprometheus.collectors import Registry
 
-from sycamorenotch_daemon._calls import CallPath
+from sycamorenotch_daemon._calls import CallPipeline
 from sycamorenotch_daemon._node import Node
 from sycamorenotch_daemon._store_guard import StoreCalls
 from sycamorenotch_kernel import Call
@@ -109,7 +109,7 @@
     def __init__(self, node: Node) -> None:
         self._node = node
         self._metrics = node.require(Metrics)
-        self._calls = node.require(CallPath)
+        self._calls = node.require(CallPipeline)
         self._calls.observe(self._on_call)
         node.provide(MetricsPage, self)
 
