--- a/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
@@ -16,7 +16,7 @@
 from sycamorenotch_daemon._plan_messages import PlanConfirmation
 from sycamorenotch_daemon._plan_messages import PlanQuestion
 from sycamorenotch_daemon._plan_watch import PlanWatch
-from sycamorenotch_daemon._worker_news import news_of_workers
+from sycamorenotch_daemon._worker_news import observe_workers
 from sycamorenotch_kernel import InstanceId
 from sycamorenotch_kernel import Plan
 from sycamorenotch_kernel import components
@@ -77,7 +77,7 @@
             self._question,
             self._holding.sequence,
             demands,
-            news_of_workers(self._node),
+            observe_workers(self._node),
         )
         if holder != self._me:
             self._keep_stream(holder)
--- a/packages/daemon/src/sycamorenotch_daemon/_worker_news.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_worker_news.py
@@ -21,7 +21,7 @@
 NO_LOAD = -1
 
 
-def news_of_workers(node: Node) -> tuple[WorkerNews, ...]:
+def observe_workers(node: Node) -> tuple[WorkerNews, ...]:
     """Return the observed states of the workers in the instance's own region.
 
     Instances in the other regions report the workers there, because a network
