--- a/packages/daemon/src/sycamorenotch_daemon/_breaker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_breaker.py
@@ -65,7 +65,7 @@
 
 
 @final
-class Breaker:
+class CircuitBreaker:
     """Refuses calls while the store fails, with one probe for each cool-down.
 
     :param random: source of the jitter that spreads the probes of the instances.
--- a/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
@@ -21,7 +21,7 @@
 from twisted.internet.error import TimeoutError
 from twisted.internet.task import deferLater
 
-from sycamorenotch_daemon._breaker import Breaker
+from sycamorenotch_daemon._breaker import CircuitBreaker
 from sycamorenotch_daemon._store_events import StoreBreakerClosed
 from sycamorenotch_daemon._store_events import StoreBreakerOpened
 from sycamorenotch_daemon._store_events import StoreBudgetExceeded
@@ -116,7 +116,7 @@
         self._random = random
         self._sink = sink
         self._budget = CallBudget(calls_per_second, clock)
-        self._breaker = Breaker(clock, random)
+        self._breaker = CircuitBreaker(clock, random)
 
     async def get(
         self, kind: str, name: str, timeout: timedelta
