--- a/packages/daemon/src/sycamorenotch_daemon/_breaker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_breaker.py
@@ -19,7 +19,7 @@
 class BreakerInputs(Protocol):
     """Inputs of the breaker's state machine."""
 
-    def admits(self) -> bool:
+    def allows_call(self) -> bool:
         """Return whether a call may be made now."""
 
     def recover(self) -> bool:
@@ -44,10 +44,10 @@
     opened = builder.state("open")
     half_open = builder.state("half open")
     probing = builder.state("probing")
-    closed.upon(BreakerInputs.admits).loop().returns(True)
-    opened.upon(BreakerInputs.admits).loop().returns(False)
-    half_open.upon(BreakerInputs.admits).to(probing).returns(True)
-    probing.upon(BreakerInputs.admits).loop().returns(False)
+    closed.upon(BreakerInputs.allows_call).loop().returns(True)
+    opened.upon(BreakerInputs.allows_call).loop().returns(False)
+    half_open.upon(BreakerInputs.allows_call).to(probing).returns(True)
+    probing.upon(BreakerInputs.allows_call).loop().returns(False)
     closed.upon(BreakerInputs.recover).loop().returns(False)
     for state in (opened, half_open, probing):
         state.upon(BreakerInputs.recover).to(closed).returns(True)
@@ -78,7 +78,7 @@
         self._cool_down_ends_at = timedelta()
         self._state_machine = _CREATE_MACHINE(None)
 
-    def admits(self) -> bool:
+    def allows_call(self) -> bool:
         """Return whether a call may be made now.
 
         A half-open breaker allows a single call, which probes the store.
@@ -87,7 +87,7 @@
         if now >= self._cool_down_ends_at:
             self._state_machine.end_cool_down()
             self._cool_down_ends_at = now + self._cool_down()
-        return self._state_machine.admits()
+        return self._state_machine.allows_call()
 
     def succeeded(self) -> bool:
         """Record a call that the store answered.
--- a/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
@@ -212,7 +212,7 @@
         perform: Callable[[], Awaitable[Result[T, StoreError]]],
         lost: StoreFault,
     ) -> Result[T, StoreError]:
-        if not self._breaker.admits():
+        if not self._breaker.allows_call():
             self.calls.refused[call] += 1
             return Error(StoreError(StoreFault.UNAVAILABLE, "the breaker is open"))
         if not self._budget.take():
