--- a/packages/daemon/src/sycamorenotch_daemon/_background.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_background.py
@@ -24,7 +24,7 @@
     error: str
 
 
-def background(reactor: Any, sink: EventSink, turn: Turn) -> Background:
+def make_periodic_task(reactor: Any, sink: EventSink, turn: Turn) -> Background:
     """Return a periodic task that emits an event when a run fails.
 
     :param turn: function of one run, which returns the delay until the next.
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_collector.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_collector.py
@@ -7,7 +7,7 @@
 from typing import ClassVar
 from typing import final
 
-from sycamorenotch_daemon._background import background
+from sycamorenotch_daemon._background import make_periodic_task
 from sycamorenotch_daemon._claim_codec import SHARD_COUNT
 from sycamorenotch_daemon._claim_codec import claim_kind
 from sycamorenotch_daemon._claim_codec import decode_claim
@@ -39,7 +39,7 @@
         self._node = node
         self._lease = node.require(PlanLease)
         self._expiry = ClaimExpiry(node.settings.instance)
-        self._loop = background(node.reactor, node.sink, self._turn)
+        self._loop = make_periodic_task(node.reactor, node.sink, self._turn)
         # Starts at a random shard, so that frequent changes of the holder do
         # not keep collecting the same shards.
         self._shard = node.random.randrange(SHARD_COUNT)
--- a/packages/daemon/src/sycamorenotch_daemon/_lease.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_lease.py
@@ -8,7 +8,7 @@
 
 from expression import Result
 
-from sycamorenotch_daemon._background import background
+from sycamorenotch_daemon._background import make_periodic_task
 from sycamorenotch_daemon._instances import InstanceView
 from sycamorenotch_daemon._lease_codec import LEASE_KIND
 from sycamorenotch_daemon._lease_codec import decode_lease
@@ -54,7 +54,7 @@
         self._node = node
         self._name = f"plan.{node.settings.environment}"
         self._lease = Lease(InstanceId(node.settings.instance), DURATION)
-        self._loop = background(node.reactor, node.sink, self._turn)
+        self._loop = make_periodic_task(node.reactor, node.sink, self._turn)
         self._failures = 0
         self._acting_term: int | None = None
         node.provide(PlanLease, self)
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
@@ -6,7 +6,7 @@
 from typing import ClassVar
 from typing import final
 
-from sycamorenotch_daemon._background import background
+from sycamorenotch_daemon._background import make_periodic_task
 from sycamorenotch_daemon._demand import DemandCounter
 from sycamorenotch_daemon._membership import FleetMembership
 from sycamorenotch_daemon._node import Node
@@ -43,7 +43,7 @@
         self._watch = node.require(PlanWatch)
         self._holder = node.require(PlanHolder)
         self._holding = HeldGrants(self._me)
-        self._loop = background(node.reactor, node.sink, self._turn)
+        self._loop = make_periodic_task(node.reactor, node.sink, self._turn)
         self._question = 0
         self._asked_at = timedelta()
         self._mesh.handle(PlanQuestion, self._on_question)
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
@@ -6,7 +6,7 @@
 from typing import ClassVar
 from typing import final
 
-from sycamorenotch_daemon._background import background
+from sycamorenotch_daemon._background import make_periodic_task
 from sycamorenotch_daemon._fleet_demand import FleetDemand
 from sycamorenotch_daemon._instances import InstanceView
 from sycamorenotch_daemon._lease import PlanLease
@@ -59,7 +59,7 @@
         self._me = InstanceId(node.settings.instance)
         self._lease = node.require(PlanLease)
         self._watch = node.require(PlanWatch)
-        self._loop = background(node.reactor, node.sink, self._turn)
+        self._loop = make_periodic_task(node.reactor, node.sink, self._turn)
         self._term: int | None = None
         self._written_term: int | None = None
         self._contacts = PlanContacts(timedelta())
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_watch.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_watch.py
@@ -7,7 +7,7 @@
 from typing import ClassVar
 from typing import final
 
-from sycamorenotch_daemon._background import background
+from sycamorenotch_daemon._background import make_periodic_task
 from sycamorenotch_daemon._node import Node
 from sycamorenotch_daemon._plan_codec import PLAN_KIND
 from sycamorenotch_daemon._plan_codec import StoredPlan
@@ -46,7 +46,7 @@
     def __init__(self, node: Node) -> None:
         self._node = node
         self._name = node.settings.environment
-        self._loop = background(node.reactor, node.sink, self._turn)
+        self._loop = make_periodic_task(node.reactor, node.sink, self._turn)
         self._listeners: list[Listener] = []
         self._failures = 0
         self._after: Version | None = None
