--- a/packages/daemon/src/sycamorenotch_daemon/_admission_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_admission_stage.py
@@ -197,7 +197,7 @@
             return 0
         region = self._node.settings.region
         has_local_workers = choice.table.deployed_in(region)
-        instances = self._upstreams.live_instances(
+        instances = self._upstreams.count_live_instances(
             region if has_local_workers else None
         )
         slots = choice.table.usable_slots(region if has_local_workers else None)
--- a/packages/daemon/src/sycamorenotch_daemon/_upstreams.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_upstreams.py
@@ -100,7 +100,7 @@
         if worker in self._workers:
             self._update_worker_state(self._workers[worker])
 
-    def live_instances(self, region: str | None = None) -> int:
+    def count_live_instances(self, region: str | None = None) -> int:
         """Return the number of live instances, at least 1.
 
         :param region: count only the instances of this region.
@@ -148,7 +148,7 @@
         setup = ChoiceSetup(
             region=self._node.settings.region,
             service_time=environment.services[service].service_time,
-            instances=self.live_instances(),
+            instances=self.count_live_instances(),
             bounds=environment.bounds,
             random=self._node.random,
             sink=self._node.sink,
@@ -158,7 +158,7 @@
         return choice
 
     def _update_budgets(self) -> None:
-        instances = self.live_instances()
+        instances = self.count_live_instances()
         for worker in self._workers.values():
             limit = max(1, worker.connections // instances)
             interval = worker.connection_cost * instances
@@ -168,7 +168,7 @@
             budget.limit, budget.interval = limit, interval
 
     def _resize(self) -> None:
-        instances = self.live_instances()
+        instances = self.count_live_instances()
         for choice in self._choices.values():
             choice.table.resize(instances)
         self._update_budgets()
