--- a/packages/daemon/src/sycamorenotch_daemon/_health_signals.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_health_signals.py
@@ -61,7 +61,7 @@
     ) -> None:
         """Stop or allow new requests to the worker."""
         state = StateModel.model_validate_json(body).state
-        upstreams.report_leaving(worker.name, state == "leaving")
+        upstreams.record_leaving(worker.name, state == "leaving")
 
 
 @health_signals.register("load")
--- a/packages/daemon/src/sycamorenotch_daemon/_upstreams.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_upstreams.py
@@ -88,7 +88,7 @@
             choice.set_regions(weights)
             self._regions[service] = tuple(weights)
 
-    def report_leaving(self, worker: str, leaving: bool) -> None:
+    def record_leaving(self, worker: str, leaving: bool) -> None:
         """Record whether a worker reports that it is leaving.
 
         :param leaving: whether the worker must get no new requests.
