--- a/packages/daemon/src/sycamorenotch_daemon/_strike_exchange.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_strike_exchange.py
@@ -29,7 +29,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class StrikeNews:
+class StrikeEntry:
     """One strike in a message between instances.
 
     :param signature: signature of the request.
@@ -52,7 +52,7 @@
 class StrikesReport(Message):
     """Strikes that the sender recorded or received."""
 
-    strikes: tuple[StrikeNews, ...]
+    strikes: tuple[StrikeEntry, ...]
 
 
 @components.register("strikes")
@@ -109,13 +109,13 @@
         quarantine.merge(map(_decode_strike, new_strikes), self._node.clock.monotonic())
         self._send(new_strikes, except_to=peer.instance)
 
-    def _encode_strike(self, strike: Strike) -> StrikeNews:
+    def _encode_strike(self, strike: Strike) -> StrikeEntry:
         age_ms = round(strike.age / timedelta(milliseconds=1))
-        return StrikeNews(
+        return StrikeEntry(
             strike.signature, strike.worker, self._origin, strike.sequence, age_ms
         )
 
-    def _is_new(self, news: StrikeNews) -> bool:
+    def _is_new(self, news: StrikeEntry) -> bool:
         strike_id = (news.origin, news.sequence)
         if strike_id in self._seen or news.origin == self._origin:
             return False
@@ -125,7 +125,7 @@
         return True
 
     def _send(
-        self, strikes: Iterable[StrikeNews], *, except_to: InstanceId | None
+        self, strikes: Iterable[StrikeEntry], *, except_to: InstanceId | None
     ) -> None:
         report = StrikesReport(tuple(strikes))
         for peer in self._mesh.connected():
@@ -133,7 +133,7 @@
                 self._mesh.send(peer.instance, report)
 
 
-def _decode_strike(news: StrikeNews) -> Strike:
+def _decode_strike(news: StrikeEntry) -> Strike:
     return Strike(
         Signature(news.signature),
         news.worker,
