--- a/packages/daemon/src/sycamorenotch_daemon/_claim_settler.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_settler.py
@@ -16,7 +16,7 @@
 from sycamorenotch_daemon._claim_events import ClaimSettled
 from sycamorenotch_daemon._claim_events import ClaimSettleDeferred
 from sycamorenotch_daemon._claim_events import ClaimSettleDropped
-from sycamorenotch_daemon._claim_store import ClaimObject
+from sycamorenotch_daemon._claim_store import ClaimHandle
 from sycamorenotch_daemon._node import Node
 from sycamorenotch_kernel import AttemptId
 from sycamorenotch_kernel import Version
@@ -51,7 +51,7 @@
     :param detail: reason why the store has not confirmed the state.
     """
 
-    handle: ClaimObject
+    handle: ClaimHandle
     claim: Claim
     expected: Version | None
     created_at: timedelta
@@ -101,7 +101,7 @@
 
     async def settle(
         self,
-        handle: ClaimObject,
+        handle: ClaimHandle,
         claim: Claim,
         expected: Version | None,
         timeout: timedelta,
@@ -124,7 +124,7 @@
                 self._defer(settlement)
 
     def settle_later(
-        self, handle: ClaimObject, claim: Claim, expected: Version | None
+        self, handle: ClaimHandle, claim: Claim, expected: Version | None
     ) -> None:
         """Settle the claim of an interrupted call in the background."""
         now = self._node.clock.monotonic()
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
@@ -14,7 +14,7 @@
 from sycamorenotch_daemon._claim_events import ClaimHeld
 from sycamorenotch_daemon._claim_events import ClaimUnreadableFound
 from sycamorenotch_daemon._claim_settler import ClaimSettler
-from sycamorenotch_daemon._claim_store import ClaimObject
+from sycamorenotch_daemon._claim_store import ClaimHandle
 from sycamorenotch_daemon._claim_store import claim_object
 from sycamorenotch_daemon._node import Node
 from sycamorenotch_kernel import Call
@@ -72,7 +72,7 @@
         self._record_may_have_run(handle, protocol)
         return await self._finish(call, handle, protocol, finish)
 
-    def _create_protocol(self, call: Call, handle: ClaimObject) -> ClaimProtocol:
+    def _create_protocol(self, call: Call, handle: ClaimHandle) -> ClaimProtocol:
         current = self._node.configuration.current
         assert current is not None
         request = ClaimRequest(
@@ -89,7 +89,7 @@
         self,
         call: Call,
         proceed: Proceed,
-        handle: ClaimObject,
+        handle: ClaimHandle,
         protocol: ClaimProtocol,
     ) -> FinishCall:
         command = protocol.start(self._read_clock())
@@ -104,7 +104,7 @@
         return command
 
     async def _execute(
-        self, call: Call, handle: ClaimObject, command: ClaimCommand
+        self, call: Call, handle: ClaimHandle, command: ClaimCommand
     ) -> ClaimInput:
         if isinstance(command, WaitForClaim):
             await deferLater(self._node.reactor, command.delay.total_seconds())
@@ -135,7 +135,7 @@
     async def _finish(
         self,
         call: Call,
-        handle: ClaimObject,
+        handle: ClaimHandle,
         protocol: ClaimProtocol,
         finish: FinishCall,
     ) -> CallResult:
@@ -165,7 +165,7 @@
         call.note(f"The claim for the key determined the answer: {outcome}.")
         self._node.sink.emit(ClaimAnswered(call.id, outcome))
 
-    def _settle_interrupted(self, handle: ClaimObject, protocol: ClaimProtocol) -> None:
+    def _settle_interrupted(self, handle: ClaimHandle, protocol: ClaimProtocol) -> None:
         finish = protocol.abandon()
         if finish is None:
             return
@@ -176,7 +176,7 @@
             )
 
     def _record_may_have_run(
-        self, handle: ClaimObject, protocol: ClaimProtocol
+        self, handle: ClaimHandle, protocol: ClaimProtocol
     ) -> None:
         if protocol.record.may_have_run:
             self._may_have_run[handle.name] = None
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_store.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_store.py
@@ -31,7 +31,7 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class ClaimObject:
+class ClaimHandle:
     """Handle of one claim in the store.
 
     :param kind: object kind of the claim's shard.
@@ -67,9 +67,9 @@
         )
 
 
-def claim_object(store: Store, service: str, key: str) -> ClaimObject:
+def claim_object(store: Store, service: str, key: str) -> ClaimHandle:
     """Return the handle of the claim for a key of a service."""
-    return ClaimObject(store, *claim_place(service, key))
+    return ClaimHandle(store, *claim_place(service, key))
 
 
 def _decode_stored(stored: StoredObject) -> ClaimFound | ClaimUnreadable:
