--- a/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
@@ -15,7 +15,7 @@
 from sycamorenotch_daemon._claim_events import ClaimUnreadableFound
 from sycamorenotch_daemon._claim_settler import ClaimSettler
 from sycamorenotch_daemon._claim_store import ClaimHandle
-from sycamorenotch_daemon._claim_store import claim_object
+from sycamorenotch_daemon._claim_store import claim_handle
 from sycamorenotch_daemon._node import Node
 from sycamorenotch_kernel import Call
 from sycamorenotch_kernel import CallResult
@@ -63,7 +63,7 @@
         if call.key is None:
             failure = Failure(ErrorKind.BAD_IDEMPOTENCY_KEY, "a key is required")
             return Error(failure)
-        handle = claim_object(self._node.store, call.route.service, call.key)
+        handle = claim_handle(self._node.store, call.route.service, call.key)
         protocol = self._create_protocol(call, handle)
         try:
             finish = await self._run_protocol(call, proceed, handle, protocol)
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_store.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_store.py
@@ -67,7 +67,7 @@
         )
 
 
-def claim_object(store: Store, service: str, key: str) -> ClaimHandle:
+def claim_handle(store: Store, service: str, key: str) -> ClaimHandle:
     """Return the handle of the claim for a key of a service."""
     return ClaimHandle(store, *claim_place(service, key))
 
