--- a/packages/daemon/src/sycamorenotch_daemon/_claim_codec.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_codec.py
@@ -62,7 +62,7 @@
     return f"{CLAIM_KIND_PREFIX}{shard:0{SHARD_DIGITS}x}"
 
 
-def claim_place(service: str, key: str) -> tuple[str, str]:
+def claim_location(service: str, key: str) -> tuple[str, str]:
     """Return the object kind and name of the claim for a key.
 
     :param key: idempotency key, unique within the service.
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_store.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_store.py
@@ -8,7 +8,7 @@
 
 from expression import Result
 
-from sycamorenotch_daemon._claim_codec import claim_place
+from sycamorenotch_daemon._claim_codec import claim_location
 from sycamorenotch_daemon._claim_codec import decode_claim
 from sycamorenotch_daemon._claim_codec import encode_claim
 from sycamorenotch_kernel import Store
@@ -69,7 +69,7 @@
 
 def claim_handle(store: Store, service: str, key: str) -> ClaimHandle:
     """Return the handle of the claim for a key of a service."""
-    return ClaimHandle(store, *claim_place(service, key))
+    return ClaimHandle(store, *claim_location(service, key))
 
 
 def _decode_stored(stored: StoredObject) -> ClaimFound | ClaimUnreadable:
--- a/testing/daemon/claims/test_claim_codec.py
+++ b/testing/daemon/claims/test_claim_codec.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sycamorenotch_daemon._claim_codec import claim_place
+from sycamorenotch_daemon._claim_codec import claim_location
 from sycamorenotch_daemon._claim_codec import decode_claim
 from sycamorenotch_daemon._claim_codec import encode_claim
 from sycamorenotch_kernel import AttemptId
@@ -60,7 +60,7 @@
 
 
 def test_place_differs_when_service_or_key_differs() -> None:
-    places = {claim_place(s, k) for s in ("a", "b") for k in ("x", "y", "..")}
+    places = {claim_location(s, k) for s in ("a", "b") for k in ("x", "y", "..")}
     assert len(places) == 6
 
 
