--- a/packages/daemon/src/sycamorenotch_daemon/_breaker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_breaker.py
@@ -89,7 +89,7 @@
             self._cool_down_ends_at = now + self._cool_down()
         return self._state_machine.allows_call()
 
-    def succeeded(self) -> bool:
+    def record_success(self) -> bool:
         """Record a call that the store answered.
 
         :return: whether the breaker closed.
--- a/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
@@ -243,7 +243,7 @@
 
     def _judge(self, call: str, result: Result[Any, StoreError]) -> None:
         if result.is_ok() or result.error.fault not in FAILED:
-            if self._breaker.succeeded():
+            if self._breaker.record_success():
                 self._sink.emit(StoreBreakerClosed())
             return
         self.calls.failed[call] += 1
