--- a/packages/daemon/src/sycamorenotch_daemon/_breaker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_breaker.py
@@ -97,7 +97,7 @@
         self._failures = 0
         return self._state_machine.recover()
 
-    def failed(self) -> bool:
+    def record_failure(self) -> bool:
         """Record a failed call.
 
         :return: whether the breaker opened.
--- a/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
@@ -247,7 +247,7 @@
                 self._sink.emit(StoreBreakerClosed())
             return
         self.calls.failed[call] += 1
-        if self._breaker.failed():
+        if self._breaker.record_failure():
             self._sink.emit(StoreBreakerOpened(result.error.detail))
 
 
