--- a/packages/daemon/src/sycamorenotch_daemon/_claim_settler.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_settler.py
@@ -67,7 +67,7 @@
 @components.register("claims")
 @final
 class ClaimSettler:
-    """Records outcomes and releases claims, if need be after the caller's answer.
+    """Records outcomes and releases claims, even after the caller got its answer.
 
     A settlement only replaces a claim that the same attempt still holds, so
     that it can safely be repeated.
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
@@ -53,7 +53,7 @@
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        # Names of claims whose request was dispatched here and may have run.
+        # Names of claims whose request may have run through this instance.
         self._may_have_run: OrderedDict[str, None] = OrderedDict()
 
     async def run(self, call: Call, proceed: Proceed) -> CallResult:
--- a/packages/daemon/src/sycamorenotch_daemon/_strike_exchange.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_strike_exchange.py
@@ -115,9 +115,9 @@
             strike.signature, strike.worker, self._origin, strike.sequence, age_ms
         )
 
-    def _is_new(self, news: StrikeEntry) -> bool:
-        strike_id = (news.origin, news.sequence)
-        if strike_id in self._seen or news.origin == self._origin:
+    def _is_new(self, entry: StrikeEntry) -> bool:
+        strike_id = (entry.origin, entry.sequence)
+        if strike_id in self._seen or entry.origin == self._origin:
             return False
         self._seen[strike_id] = None
         if len(self._seen) > MAX_SEEN_STRIKES:
@@ -133,11 +133,11 @@
                 self._mesh.send(peer.instance, report)
 
 
-def _decode_strike(news: StrikeEntry) -> Strike:
+def _decode_strike(entry: StrikeEntry) -> Strike:
     return Strike(
-        Signature(news.signature),
-        news.worker,
-        news.origin,
-        news.sequence,
-        timedelta(milliseconds=max(0, news.age_ms)),
+        Signature(entry.signature),
+        entry.worker,
+        entry.origin,
+        entry.sequence,
+        timedelta(milliseconds=max(0, entry.age_ms)),
     )
--- a/packages/daemon/src/sycamorenotch_daemon/_worker_news.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_worker_news.py
@@ -71,13 +71,13 @@
         self._received_at: dict[InstanceId, timedelta] = {}
 
     def report(
-        self, instance: InstanceId, news: tuple[WorkerNews, ...], now: timedelta
+        self, instance: InstanceId, workers: tuple[WorkerNews, ...], now: timedelta
     ) -> None:
         """Replace the states reported by an instance.
 
         :param now: time of the report on the monotonic clock.
         """
-        self._worker_states[instance] = news
+        self._worker_states[instance] = workers
         self._received_at[instance] = now
 
     def reports(
@@ -104,13 +104,13 @@
         return tuple(_merge(name, by_worker[name]) for name in sorted(by_worker))
 
 
-def _merge(worker: str, news: list[tuple[WorkerNews, timedelta]]) -> WorkerReport:
+def _merge(worker: str, states: list[tuple[WorkerNews, timedelta]]) -> WorkerReport:
     # A single instance that cannot reach a worker must not exclude it for all.
-    newest, age = min(news, key=lambda pair: pair[1])
-    failures = sum(item.failures for item, _ in news) / len(news) / SHARE_SCALE
+    newest, age = min(states, key=lambda pair: pair[1])
+    failures = sum(item.failures for item, _ in states) / len(states) / SHARE_SCALE
     return WorkerReport(
         worker=worker,
-        usable=any(item.usable for item, _ in news),
+        usable=any(item.usable for item, _ in states),
         load=None if newest.load == NO_LOAD else newest.load / SHARE_SCALE,
         age=age,
         failures=failures,
