--- a/packages/daemon/src/sycamorenotch_daemon/_dispatch.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_dispatch.py
@@ -53,7 +53,7 @@
             return _no_worker("the service is not configured")
         choice = chooser.choose(now, frozenset(call.tried))
         if choice is None:
-            return _no_worker("no worker of the service has capacity for the call")
+            return _no_worker("no worker of the service can accept the call")
         return await self._send(call, chooser, choice, remaining)
 
     async def _send(
