--- a/packages/daemon/src/sycamorenotch_daemon/_http_store.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_http_store.py
@@ -24,7 +24,6 @@
 from twisted.web.client import Agent
 from twisted.web.client import HTTPConnectionPool
 
-from sycamorenotch_kernel import WatchResult
 from sycamorenotch_kernel import InstanceId
 from sycamorenotch_kernel import InstanceState
 from sycamorenotch_kernel import ListedInstance
@@ -32,6 +31,7 @@
 from sycamorenotch_kernel import StoreError
 from sycamorenotch_kernel import StoreFault
 from sycamorenotch_kernel import Version
+from sycamorenotch_kernel import WatchResult
 from sycamorenotch_kernel import store_adapters
 from sycamorenotch_transport import BytesProducer
 
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
@@ -6,7 +6,7 @@
 from typing import ClassVar
 from typing import final
 
-from sycamorenotch_daemon._background import background
+from sycamorenotch_daemon._background import make_periodic_task
 from sycamorenotch_daemon._demand import DemandCounter
 from sycamorenotch_daemon._membership import FleetMembership
 from sycamorenotch_daemon._node import Node
@@ -16,7 +16,7 @@
 from sycamorenotch_daemon._plan_messages import PlanConfirmation
 from sycamorenotch_daemon._plan_messages import PlanQuestion
 from sycamorenotch_daemon._plan_watch import PlanWatch
-from sycamorenotch_daemon._worker_news import news_of_workers
+from sycamorenotch_daemon._worker_news import observe_workers
 from sycamorenotch_kernel import InstanceId
 from sycamorenotch_kernel import Plan
 from sycamorenotch_kernel import components
@@ -43,7 +43,7 @@
         self._watch = node.require(PlanWatch)
         self._holder = node.require(PlanHolder)
         self._held_grants = HeldGrants(self._own_id)
-        self._loop = background(node.reactor, node.sink, self._turn)
+        self._loop = make_periodic_task(node.reactor, node.sink, self._turn)
         self._question_number = 0
         self._sent_at = timedelta()
         self._mesh.handle(PlanQuestion, self._on_question)
@@ -77,7 +77,7 @@
             self._question_number,
             self._held_grants.sequence,
             demands,
-            news_of_workers(self._node),
+            observe_workers(self._node),
         )
         if holder != self._own_id:
             self._keep_holder_connected(holder)
--- a/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
@@ -25,7 +25,6 @@
 from sycamorenotch_daemon._store_events import StoreBreakerClosed
 from sycamorenotch_daemon._store_events import StoreBreakerOpened
 from sycamorenotch_daemon._store_events import StoreBudgetExceeded
-from sycamorenotch_kernel import WatchResult
 from sycamorenotch_kernel import Clock
 from sycamorenotch_kernel import Directory
 from sycamorenotch_kernel import EventSink
@@ -35,6 +34,7 @@
 from sycamorenotch_kernel import StoreError
 from sycamorenotch_kernel import StoreFault
 from sycamorenotch_kernel import Version
+from sycamorenotch_kernel import WatchResult
 
 T = TypeVar("T")
 
@@ -212,7 +212,7 @@
         perform: Callable[[], Awaitable[Result[T, StoreError]]],
         no_answer_fault: StoreFault,
     ) -> Result[T, StoreError]:
-        if not self._breaker.admits():
+        if not self._breaker.allows_call():
             self.calls.refused[call] += 1
             return Error(StoreError(StoreFault.UNAVAILABLE, "the breaker is open"))
         if not self._rate_limit.try_acquire():
@@ -243,11 +243,11 @@
 
     def _record_result(self, call: str, result: Result[Any, StoreError]) -> None:
         if result.is_ok() or result.error.fault not in FAILURE_FAULTS:
-            if self._breaker.succeeded():
+            if self._breaker.record_success():
                 self._sink.emit(StoreBreakerClosed())
             return
         self.calls.failed[call] += 1
-        if self._breaker.failed():
+        if self._breaker.record_failure():
             self._sink.emit(StoreBreakerOpened(result.error.detail))
 
 
--- a/testing/daemon/claims/test_claim_collector.py
+++ b/testing/daemon/claims/test_claim_collector.py
@@ -1,4 +1,4 @@
-"""Tests of the removal of claims past their lifetime."""
+"""Tests of the removal of expired claims."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class OneInstance:
-    """A list that names only the collecting instance."""
+    """Instance list with only the collecting instance."""
 
     def instances(self) -> tuple[ListedInstance, ...]:
         live = InstanceState.LIVE
@@ -63,23 +63,23 @@
     return [stored.name for stored in fleet.table.list(claim_kind(0))]
 
 
-def test_only_claims_past_their_lifetime_are_removed_in_bounded_steps(
+def test_only_expired_claims_are_removed_in_bounded_steps(
     fleet: Any, collector: ClaimCollector
 ) -> None:
     store_claims(fleet, EXPIRED, timedelta(days=2), "first")
     store_claims(fleet, 2, timedelta(), "second")
-    fleet.pass_time(6)
+    fleet.advance_time(6)
     assert len(names(fleet)) == EXPIRED + 2 - 10
-    fleet.pass_time(30)
+    fleet.advance_time(30)
     assert names(fleet) == ["second.0.0", "second.0.1"]
 
 
-def test_no_claim_is_removed_when_only_this_instance_tells_the_time(
+def test_no_claim_is_removed_when_only_own_claims_show_the_time(
     fleet: Any, collector: ClaimCollector
 ) -> None:
     store_claims(fleet, 3, timedelta(days=2), "second")
     store_claims(fleet, 3, timedelta(), "first")
-    fleet.pass_time(60)
+    fleet.advance_time(60)
     assert len(names(fleet)) == 6
 
 
@@ -87,5 +87,5 @@
     fleet: Any, collector: ClaimCollector, loss: Any
 ) -> None:
     fleet.first.store.always = loss.DOWN
-    fleet.pass_time(60)
+    fleet.advance_time(60)
     assert fleet.first.store.calls["list"] == 0
--- a/testing/daemon/claims/test_claim_machine.py
+++ b/testing/daemon/claims/test_claim_machine.py
@@ -1,4 +1,4 @@
-"""Random runs of several instances against one store and one upstream."""
+"""Stateful tests of several instances with one store and one upstream."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
         @rule(index=st.integers(0, INSTANCES - 1))
         def late_writes_arrive(self, index: int) -> None:
-            self.instances[index].store.arrive()
+            self.instances[index].store.apply_late_writes()
 
         @rule()
         def upstream_resumes(self) -> None:
@@ -83,7 +83,7 @@
 
         @rule(index=st.integers(0, INSTANCES - 1))
         def kill(self, index: int) -> None:
-            # Writes of the killed instance can still be on their way.
+            # Writes of the killed instance may still be in flight.
             self.instances[index] = self.new_instance()
 
         @rule(position=st.integers(0, 9))
@@ -93,7 +93,7 @@
 
         @rule(seconds=st.sampled_from([0.1, 1.0, 6.0]))
         def wait(self, seconds: float) -> None:
-            self.fleet.pass_time(seconds)
+            self.fleet.advance_time(seconds)
 
         @invariant()
         def each_key_ran_at_most_once(self) -> None:
