--- a/packages/policies/src/sycamorenotch_policies/_admission.py
+++ b/packages/policies/src/sycamorenotch_policies/_admission.py
@@ -22,9 +22,12 @@
 from sycamorenotch_policies._outcomes import Outcome
 
 MAX_QUEUED_PER_RANK = 1024
+# Largest share of the time left until its deadline that a request may be queued.
 MAX_WAIT_SHARE = 0.5
+# Bounds the expected wait when the floors of less urgent ranks add up to nearly 1.
 MIN_CAPACITY_SHARE = 0.1
 LATENCY_WEIGHT = 0.1
+# A waiting rank with this much credit has not received its floor (I10).
 MAX_CREDIT = 4.0
 MIN_RETRY_AFTER = timedelta(seconds=1)
 MAX_RETRY_AFTER = timedelta(seconds=30)
@@ -191,7 +194,7 @@
         wait = self._expected_wait(ticket.rank)
         time_left = ticket.deadline - now
         if wait is None or len(self._queues[ticket.rank]) >= MAX_QUEUED_PER_RANK:
-            detail = "the queue of the rank is full"
+            detail = "the queue of the rank is full or the instance has no slots"
             return _refuse(ticket, ErrorKind.OVERLOADED, detail, wait)
         if wait + self._latency > time_left:
             detail = "the expected wait exceeds the deadline"
--- a/packages/policies/src/sycamorenotch_policies/_claim_protocol.py
+++ b/packages/policies/src/sycamorenotch_policies/_claim_protocol.py
@@ -60,7 +60,7 @@
 class ClaimProtocol:
     """One attempt to run a request at most once.
 
-    :param request: the request and its idempotency key.
+    :param request: the request to run under an idempotency key.
     :param random: source of jitter.
     """
 
--- a/packages/policies/src/sycamorenotch_policies/_claim_steps.py
+++ b/packages/policies/src/sycamorenotch_policies/_claim_steps.py
@@ -33,7 +33,9 @@
 INITIAL_POLL_DELAY = timedelta(milliseconds=50)
 MAX_POLL_DELAY = timedelta(seconds=1)
 MAX_DOUBLINGS = 10
+# Time that is kept before the deadline to answer the caller.
 ANSWER_MARGIN = timedelta(milliseconds=50)
+# Allowed skew between the wall clocks of two instances.
 CLOCK_TOLERANCE = timedelta(seconds=1)
 HELD_RETRY_AFTER = timedelta(seconds=1)
 STORE_RETRY_AFTER = timedelta(seconds=1)
@@ -192,7 +194,8 @@
 
 
 def _did_not_run(failure: Failure) -> bool:
-    # After a violated invariant, only an explicit statement counts.
+    # A violated invariant does not show whether the request ran, so only an explicit
+    # statement counts.
     if failure.kind is ErrorKind.INVARIANT:
         return failure.ran is Ran.NO
     return failure.stated_ran is Ran.NO
--- a/packages/policies/src/sycamorenotch_policies/_demand_weights.py
+++ b/packages/policies/src/sycamorenotch_policies/_demand_weights.py
@@ -13,8 +13,9 @@
 from sycamorenotch_policies._measurements import Assessment
 from sycamorenotch_policies._steering_view import SteeringView
 
-# Share of a region's capacity that is split over its instances regardless of
-# demand, so that each can serve the first requests after an idle time.
+# Weight that the instances of a region share besides measured demand, as a part of
+# the request rate that the region can serve. With it each instance can serve the
+# first requests after an idle time.
 BASE_WEIGHT_SHARE = 0.1
 
 DemandWeights = dict[tuple[str, str], dict[InstanceId, float]]
--- a/packages/policies/src/sycamorenotch_policies/_distribution.py
+++ b/packages/policies/src/sycamorenotch_policies/_distribution.py
@@ -41,7 +41,7 @@
         self._texts: OrderedDict[int, ConfigurationText] = OrderedDict()
 
     def add(self, text: ConfigurationText) -> None:
-        """Add the text that is in force now; the oldest one is dropped."""
+        """Add the text that is in force now; only the newest few are kept."""
         self._texts[text.generation] = text
         if len(self._texts) > HISTORY_LENGTH:
             self._texts.popitem(last=False)
--- a/packages/policies/src/sycamorenotch_policies/_grant_holding.py
+++ b/packages/policies/src/sycamorenotch_policies/_grant_holding.py
@@ -65,7 +65,8 @@
         """Return the slots that may be in use now.
 
         :param now: monotonic clock of this instance.
-        :return: floor and loan, only the floor once the loan has lapsed.
+        :return: floor and loan; only the floor once the loan has lapsed; 0 without a
+            grant or before the first confirmation.
         """
         grant = self._grants.get((region, service))
         if grant is None or self._renewed_at is None:
--- a/packages/policies/src/sycamorenotch_policies/_grants.py
+++ b/packages/policies/src/sycamorenotch_policies/_grants.py
@@ -1,7 +1,7 @@
 """Split of usable capacity over instances without overcommitment.
 
-A grant grows only by slots that no other instance may use any more: it confirmed
-a smaller grant, its loan lapsed, or it is gone.
+A grant grows only by slots that no other instance may still use, because the one
+that used them has confirmed a smaller grant, its loan has lapsed, or it is gone.
 """
 
 from __future__ import annotations
@@ -35,6 +35,7 @@
 # Grants stay while the fair split differs from them by at most this share.
 CHANGE_TOLERANCE = 0.2
 
+# Region and service.
 Pool = tuple[str, str]
 GrantsByHolder = dict[tuple[InstanceId, str, str], Grant]
 
--- a/packages/policies/src/sycamorenotch_policies/_liveness.py
+++ b/packages/policies/src/sycamorenotch_policies/_liveness.py
@@ -37,7 +37,7 @@
     :param sequence: rises with each heartbeat of one start.
     :param ready: whether it accepts requests.
     :param capacity: processors and link rate that it may use of its machine.
-    :param usage: processors and link rate in use since the last reading.
+    :param usage: processors and link rate that it uses, as a moving average.
     """
 
     entry: PeerEntry
@@ -58,7 +58,8 @@
 class Liveness:
     """Instances that this one considers alive by their heartbeats.
 
-    A heartbeat counts for the time in which several more are due.
+    An instance is alive until :data:`MISSED_HEARTBEATS` intervals have passed
+    without a heartbeat from it.
 
     :param own_id: identifier of this instance.
     """
--- a/packages/policies/src/sycamorenotch_policies/_lookup.py
+++ b/packages/policies/src/sycamorenotch_policies/_lookup.py
@@ -61,7 +61,7 @@
 
     Callers are hashed by address into a fixed number of buckets. A bucket keeps
     its instances while the plan and the instance list are unchanged, and a change
-    of shares moves only as many buckets as the change requires.
+    of shares moves only the buckets next to the boundaries between regions.
 
     :param environment: the environment document in force.
     :param home: region for addresses outside all client blocks.
--- a/packages/policies/src/sycamorenotch_policies/_measurements.py
+++ b/packages/policies/src/sycamorenotch_policies/_measurements.py
@@ -74,7 +74,9 @@
     events: tuple[Event, ...]
 
     def upper_share(self, service: str, rate: float) -> float:
-        """Return an upper bound of a route's share of a service, from 0 to 1.
+        """Return a route's share of a service, from 0 to 1, with a margin for noise.
+
+        Noise in the counts of requests rarely exceeds the returned share.
 
         :param rate: measured requests per second of the route.
         """
--- a/packages/policies/src/sycamorenotch_policies/_membership.py
+++ b/packages/policies/src/sycamorenotch_policies/_membership.py
@@ -20,7 +20,8 @@
 GONE_AFTER = timedelta(seconds=6)
 # The platform's list lags, so an unlisted instance is kept while it is heard from.
 FORGET_AFTER = timedelta(seconds=60)
-# If more than this share of the others looks dead, this instance is partitioned.
+# If more than this share of the others looks dead, the fault is taken to be a network
+# partition of this instance.
 PARTITIONED_SHARE = 0.5
 PARTITIONED_MIN_MEMBERS = 3
 CHANGES_PER_HEARTBEAT = 4
@@ -223,7 +224,11 @@
         )
 
     def usable(self, instance: InstanceId) -> bool:
-        """Return whether an instance may be given work or a role."""
+        """Return whether an instance may be given work or a role.
+
+        While this instance is partitioned, it only excludes leaving members, as the
+        states of the others are not reliable.
+        """
         if instance == self.own_id:
             return True
         member = self._members.get(instance)
@@ -238,7 +243,7 @@
         return member is not None and member.state is MemberState.LEAVING
 
     def is_partitioned(self) -> bool:
-        """Return whether so many others look dead that this instance is partitioned."""
+        """Return whether so many others look dead that the fault must be here."""
         dead = sum(
             m.state in (MemberState.SUSPECT, MemberState.GONE)
             for m in self._members.values()
--- a/packages/policies/src/sycamorenotch_policies/_retry_budget.py
+++ b/packages/policies/src/sycamorenotch_policies/_retry_budget.py
@@ -50,13 +50,17 @@
         self._services: dict[str, _Window] = {}
 
     def record_first_attempt(self, service: str, now: float) -> None:
-        """Count a first attempt."""
+        """Count a first attempt.
+
+        :param now: monotonic time in seconds.
+        """
         window = self._window(service, now)
         window.first_attempts.append(now)
 
     def try_acquire(self, service: str, now: float, instances: int) -> bool:
         """Count a retry if the budget allows one.
 
+        :param now: monotonic time in seconds.
         :param instances: number of instances that share the extra retries.
         :return: whether the request may be retried.
         """
@@ -72,7 +76,7 @@
     def _window(self, service: str, now: float) -> _Window:
         window = self._services.setdefault(service, _Window())
         since = now - self._limits().window_s
-        for sent_at in (window.first_attempts, window.retries):
-            while sent_at and sent_at[0] <= since:
-                sent_at.popleft()
+        for send_times in (window.first_attempts, window.retries):
+            while send_times and send_times[0] <= since:
+                send_times.popleft()
         return window
--- a/packages/policies/src/sycamorenotch_policies/_steering_events.py
+++ b/packages/policies/src/sycamorenotch_policies/_steering_events.py
@@ -103,7 +103,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class LoansLapsed(Event):
-    """An unconfirmed instance lost its loans and keeps its floors."""
+    """An instance did not renew its loans in time; it keeps only its floors."""
 
     instance: str
     silence_s: float
--- a/packages/policies/src/sycamorenotch_policies/_steering_moves.py
+++ b/packages/policies/src/sycamorenotch_policies/_steering_moves.py
@@ -25,7 +25,7 @@
 
 # Share of the cap that plans use; demand may change before the next plan.
 PLANNED_CAP_SHARE = 0.9
-# Smaller moves are skipped, as a share of a service's traffic.
+# Smallest move worth a new plan, as a share of a service's traffic.
 MIN_SHIFT_SHARE = 0.002
 
 
--- a/packages/policies/src/sycamorenotch_policies/_steering_occupancy.py
+++ b/packages/policies/src/sycamorenotch_policies/_steering_occupancy.py
@@ -17,7 +17,7 @@
 UTILISATION_LIMIT = 0.85
 # Answers are large for a link and arrive in bursts, so more of it is kept free.
 LINK_UTILISATION_LIMIT = 0.6
-# Work of a request on cold caches, in requests on warm caches.
+# Work of a request on cold caches, as a multiple of one on warm caches.
 COLD_CACHE_COST = 2.0
 BITS_PER_BYTE = 8
 
@@ -84,7 +84,7 @@
         """Add requests per second of a route to a region and its link.
 
         :param rate: requests per second.
-        :param cost: work of one request, in requests on warm caches.
+        :param cost: work of one request, as a multiple of one on warm caches.
         """
         self._rates[region, key.service, key.rank] += rate
         self._unsettled_rates[region, key.service] += rate * (cost - 1.0)
--- a/packages/policies/src/sycamorenotch_policies/_steering_view.py
+++ b/packages/policies/src/sycamorenotch_policies/_steering_view.py
@@ -107,7 +107,7 @@
     :param plan: the plan to put in force.
     :param changed: whether it differs from the previous plan in more than its
         sequence and time; an unchanged plan need not be written.
-    :param reasons: full sentences for operators, the most important first.
+    :param reasons: whole sentences for operators, the most important first.
     :param events: events to emit with the decision.
     """
 
--- a/packages/policies/src/sycamorenotch_policies/_usage_meter.py
+++ b/packages/policies/src/sycamorenotch_policies/_usage_meter.py
@@ -7,8 +7,8 @@
 
 from sycamorenotch_kernel import Resources
 
-# Short enough to follow a burst within a few look-up answers, long enough to
-# smooth single large answers.
+# Time constant of the average: short enough to follow a burst within a few look-up
+# answers, long enough to smooth single large answers.
 SMOOTHING_S = 3.0
 BITS_PER_BYTE = 8
 BITS_PER_MEGABIT = 1e6
--- a/packages/policies/src/sycamorenotch_policies/_worker_choice.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_choice.py
@@ -16,7 +16,7 @@
 from sycamorenotch_policies._route_table import hash_to_unit_interval
 from sycamorenotch_policies._worker_directory import WorkerView
 
-# Requests per slot. Behind a longer queue most requests miss their deadline.
+# Requests per slot, above which a request would be too late at most workers.
 MAX_LOAD_PER_SLOT = 1.5
 # More owners spread a burst better, but each one has to load the object first,
 # which takes as long as several requests for a loaded object.
@@ -33,7 +33,7 @@
 class WorkerRequest:
     """A request that needs a worker.
 
-    :param object_key: affinity key; without one the worker is chosen at random.
+    :param object_key: affinity key; if it is empty, the owners are random.
     :param tried: identifiers of workers that received the request already.
     """
 
@@ -127,7 +127,9 @@
             and self._accepts_more(view, now)
         ]
         if not allowed:
-            return NoCapacity("no worker of the service is usable", MIN_RETRY_AFTER_S)
+            return NoCapacity(
+                "no worker of the service can accept the request", MIN_RETRY_AFTER_S
+            )
         responsive = [view for view in allowed if now < view.unresponsive_from()]
         owners = self._owners(request, responsive or allowed)
         for index, view in enumerate(owners):
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -174,7 +174,10 @@
         return 0.0 if limits is None else limits.cold_s
 
     def usable(self, service: str, now: float) -> tuple[WorkerView, ...]:
-        """Return the workers of a service that are not in backoff."""
+        """Return the workers of a service that may get requests.
+
+        Workers that are draining, under evacuation or in backoff are left out.
+        """
         return tuple(
             view
             for view in self._services.get(service, ())
@@ -182,7 +185,10 @@
         )
 
     def known(self, service: str) -> tuple[WorkerView, ...]:
-        """Return the workers of a service, including those in backoff."""
+        """Return the workers of a service, including those in backoff.
+
+        Workers that are draining or under evacuation are left out.
+        """
         return self._services.get(service, ())
 
     def describe(self, service: str, now: float) -> str:
@@ -194,7 +200,7 @@
                 view.entry.data_centre in self._evacuated for view in views
             ),
             "pause after failures": sum(now < view.backoff_until for view in views),
-            "have just started": sum(now < view.cold_until for view in views),
+            "are in cold start": sum(now < view.cold_until for view in views),
             "are unresponsive": sum(now >= view.unresponsive_from() for view in views),
         }
         parts = [f"{count} {what}" for what, count in counts.items() if count]
--- a/packages/policies/src/sycamorenotch_policies/_worker_table.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_table.py
@@ -161,7 +161,8 @@
     ) -> None:
         """Record the outcome of a request and eject or readmit the worker."""
         state = self.states.get(name)
-        # A worker that was removed and added again starts with no requests.
+        # A worker that was removed and added again no longer counts the requests that
+        # were sent before.
         if state is None or not state.in_flight:
             return
         state.finish(latency, outcome, cause)
--- a/testing/policies/test_grants.py
+++ b/testing/policies/test_grants.py
@@ -38,11 +38,13 @@
 
 def next_plan(
     previous: Plan | None,
-    wants: dict[InstanceId, float],
+    demand_weights: dict[InstanceId, float],
     contacts: tuple[InstanceContact, ...],
     capacity: int = CAPACITY,
 ) -> Plan:
-    decided = reallocate_grants({POOL: capacity}, {POOL: wants}, contacts, previous)
+    decided = reallocate_grants(
+        {POOL: capacity}, {POOL: demand_weights}, contacts, previous
+    )
     return Plan(
         1,
         decided.sequence,
@@ -63,11 +65,11 @@
         """Start with a plan that every instance has confirmed."""
         self.now = timedelta()
         self.plan: Plan | None = None
-        self.holdings = {name: HeldGrants(name) for name in NAMES}
+        self.held_grants = {name: HeldGrants(name) for name in NAMES}
         self.alive = set(NAMES)
         self.gone_since: dict[InstanceId, timedelta] = {}
         self.confirmed_at = dict.fromkeys(NAMES, timedelta())
-        self.seen = dict.fromkeys(NAMES, -1)
+        self.confirmed_sequence = dict.fromkeys(NAMES, -1)
         self.old_plans: list[Plan] = []
         self.write_plan(dict.fromkeys(NAMES, 1.0))
         for name in NAMES:
@@ -78,18 +80,18 @@
         """Advance every clock, also that of a paused instance."""
         self.now += timedelta(seconds=seconds)
 
-    @rule(wants=weights)
-    def write_plan(self, wants: dict[InstanceId, float]) -> None:
+    @rule(demand_weights=weights)
+    def write_plan(self, demand_weights: dict[InstanceId, float]) -> None:
         """Write the next plan from what the holder knows."""
         contacts = tuple(self._contact(name) for name in NAMES)
-        self.plan = next_plan(self.plan, wants, contacts)
+        self.plan = next_plan(self.plan, demand_weights, contacts)
         self.old_plans.append(self.plan)
 
     @rule(name=names, back=st.integers(0, 5))
     def deliver_plan(self, name: InstanceId, back: int) -> None:
         """Deliver a plan, possibly a delayed older one."""
         if self.old_plans and name in self.alive:
-            self.holdings[name].accept(
+            self.held_grants[name].accept(
                 self.old_plans[max(-1 - back, -len(self.old_plans))]
             )
 
@@ -98,11 +100,13 @@
         """Request a confirmation from the holder and receive it after a delay."""
         if self.plan is None or name not in self.alive:
             return
-        holding = self.holdings[name]
-        self.seen[name] = max(self.seen[name], holding.sequence)
+        held = self.held_grants[name]
+        self.confirmed_sequence[name] = max(
+            self.confirmed_sequence[name], held.sequence
+        )
         self.confirmed_at[name] = self.now
-        asked_at = self.now - timedelta(seconds=delay)
-        holding.confirm(self.plan.sequence, asked_at)
+        requested_at = self.now - timedelta(seconds=delay)
+        held.confirm(self.plan.sequence, requested_at)
 
     @rule(name=names)
     def renew(self, name: InstanceId) -> None:
@@ -114,13 +118,13 @@
     def replace_holder(self) -> None:
         """Replace the holder by one that knows the plan but no confirmations."""
         self.confirmed_at = dict.fromkeys(NAMES, self.now)
-        self.seen = dict.fromkeys(NAMES, -1)
+        self.confirmed_sequence = dict.fromkeys(NAMES, -1)
 
     @rule(name=names)
     def restart(self, name: InstanceId) -> None:
         """Restart the process of an instance, which loses its state."""
         if name in self.alive:
-            self.holdings[name] = HeldGrants(name)
+            self.held_grants[name] = HeldGrants(name)
 
     @rule(name=names)
     def kill(self, name: InstanceId) -> None:
@@ -132,14 +136,14 @@
     @invariant()
     def grants_fit(self) -> None:
         """Usable slots of all instances fit into the capacity (I2)."""
-        used = sum(self.holdings[n].slots(*POOL, self.now) for n in self.alive)
+        used = sum(self.held_grants[n].slots(*POOL, self.now) for n in self.alive)
         assert used <= CAPACITY
 
     def _contact(self, name: InstanceId) -> InstanceContact:
         since = self.gone_since.get(name)
         return InstanceContact(
             name,
-            self.seen[name],
+            self.confirmed_sequence[name],
             self.now - self.confirmed_at[name],
             None if since is None else self.now - since,
         )
@@ -170,12 +174,12 @@
 
 
 def test_grant_grows_only_when_reduced_instance_confirmed(first: Plan) -> None:
-    wants = {NAMES[0]: 3.0, NAMES[1]: 1.0}
+    demand_weights = {NAMES[0]: 3.0, NAMES[1]: 1.0}
     unconfirmed = (contact(NAMES[0], 1), contact(NAMES[1], 1))
-    second = next_plan(first, wants, unconfirmed)
+    second = next_plan(first, demand_weights, unconfirmed)
     assert (granted(second, NAMES[0]), granted(second, NAMES[1])) == (12, 6)
     confirmed = (contact(NAMES[0], 2), contact(NAMES[1], 2))
-    third = next_plan(second, wants, confirmed)
+    third = next_plan(second, demand_weights, confirmed)
     assert (granted(third, NAMES[0]), granted(third, NAMES[1])) == (18, 6)
 
 
@@ -199,19 +203,19 @@
     assert granted(third, NAMES[0]) == CAPACITY
 
 
-def test_loan_lapses_when_answer_was_late(first: Plan) -> None:
-    holding = HeldGrants(NAMES[0])
-    holding.accept(first)
-    holding.confirm(first.sequence, timedelta())
+def test_loan_lapses_when_its_lifetime_since_request_has_passed(first: Plan) -> None:
+    held = HeldGrants(NAMES[0])
+    held.accept(first)
+    held.confirm(first.sequence, timedelta())
     just_before = LOAN_LIFETIME - timedelta(milliseconds=1)
-    assert holding.slots(*POOL, just_before) == 12
-    assert holding.slots(*POOL, LOAN_LIFETIME) == 6
+    assert held.slots(*POOL, just_before) == 12
+    assert held.slots(*POOL, LOAN_LIFETIME) == 6
 
 
 def test_nothing_is_usable_when_holder_never_confirmed(first: Plan) -> None:
-    holding = HeldGrants(NAMES[0])
-    holding.accept(first)
-    assert holding.slots(*POOL, timedelta()) == 0
+    held = HeldGrants(NAMES[0])
+    held.accept(first)
+    assert held.slots(*POOL, timedelta()) == 0
 
 
 def test_grants_stay_when_demand_weights_change_little(first: Plan) -> None:
@@ -235,8 +239,8 @@
 def test_loan_is_not_renewed_when_confirmation_is_for_another_plan(
     first: Plan,
 ) -> None:
-    holding = HeldGrants(NAMES[0])
-    holding.accept(first)
-    assert holding.confirm(first.sequence, timedelta())
-    assert not holding.confirm(first.sequence + 1, LOAN_LIFETIME)
-    assert holding.slots(*POOL, LOAN_LIFETIME) == 6
+    held = HeldGrants(NAMES[0])
+    held.accept(first)
+    assert held.confirm(first.sequence, timedelta())
+    assert not held.confirm(first.sequence + 1, LOAN_LIFETIME)
+    assert held.slots(*POOL, LOAN_LIFETIME) == 6
--- a/testing/policies/test_idle_timeout.py
+++ b/testing/policies/test_idle_timeout.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(("idle_s", "after_s"), [(None, 0.1), (0.1, 0.1), (3.0, 0.5)])
-def test_limit_is_unchanged_when_worker_crashes(idle_s, after_s) -> None:
+def test_limit_is_unchanged_when_close_has_another_cause(idle_s, after_s) -> None:
     timeout = AdaptiveIdleTimeout()
     assert not timeout.record_close(idle_s, after_s, 0.0)
     assert timeout.max_idle_s(0.0) == inf
--- a/testing/policies/test_membership.py
+++ b/testing/policies/test_membership.py
@@ -44,7 +44,7 @@
     return found.get(InstanceId(name))
 
 
-def test_member_is_suspected_then_gone_when_unanswered() -> None:
+def test_member_is_suspected_then_gone_when_it_does_not_answer() -> None:
     members = listed("b", "c", "d", "e", "f", "g", "h")
     members.expect_answer(B, SECOND)
     assert members.tick(3 * SECOND) == ()
@@ -114,11 +114,13 @@
 
 
 @pytest.mark.parametrize("size", [3, 30, 1400])
-def test_digest_is_bounded_and_covers_everyone_whatever_the_size(size: int) -> None:
+def test_rumours_are_bounded_and_cover_every_member_whatever_the_size(
+    size: int,
+) -> None:
     members = listed(*(f"m{index}" for index in range(size)))
-    digests = [members.rumours() for _ in range(size)]
-    assert max(map(len, digests)) <= 6
-    seen = {rumour.instance for digest in digests for rumour in digest}
+    sent = [members.rumours() for _ in range(size)]
+    assert max(map(len, sent)) <= 6
+    seen = {rumour.instance for rumours in sent for rumour in rumours}
     assert len(seen) == size
 
 
@@ -128,7 +130,7 @@
     assert all(len(set(neighbours(n, names, 2)) - {n}) == 2 for n in names)
 
 
-def test_few_watchers_change_when_one_instance_goes() -> None:
+def test_few_watchers_change_when_one_instance_is_removed() -> None:
     names = tuple(InstanceId(f"m{index}") for index in range(50))
     first, second = watchers("r-0", names)
     left = watchers("r-0", (n for n in names if n != first))
--- a/testing/policies/test_retry_budget.py
+++ b/testing/policies/test_retry_budget.py
@@ -14,16 +14,16 @@
 @given(st.lists(st.tuples(st.floats(0, 0.5), st.booleans()), max_size=400))
 def test_retries_stay_within_limit_in_every_window(steps) -> None:
     instances = 3
-    allowance = RetryBudget(lambda: LIMITS)
+    budget = RetryBudget(lambda: LIMITS)
     now = 0.0
     first_attempts: list[float] = []
     retries_sent: list[float] = []
     for pause, retry in steps:
         now += pause
         if not retry:
-            allowance.record_first_attempt("s", now)
+            budget.record_first_attempt("s", now)
             first_attempts.append(now)
-        elif allowance.try_acquire("s", now, instances):
+        elif budget.try_acquire("s", now, instances):
             retries_sent.append(now)
     for end in retries_sent:
         retries = sum(end - LIMITS.window_s < t <= end for t in retries_sent)
@@ -32,13 +32,13 @@
 
 
 def test_retry_is_denied_when_share_is_used_up() -> None:
-    allowance = RetryBudget(lambda: RetryLimits(0.0, 10.0, 10.0))
-    taken = sum(allowance.try_acquire("s", 1.0, 2) for _ in range(20))
-    assert taken == 4
+    budget = RetryBudget(lambda: RetryLimits(0.0, 10.0, 10.0))
+    allowed = sum(budget.try_acquire("s", 1.0, 2) for _ in range(20))
+    assert allowed == 4
 
 
 def test_retry_is_allowed_again_when_window_has_passed() -> None:
-    allowance = RetryBudget(lambda: RetryLimits(0.0, 10.0, 2.0))
-    assert allowance.try_acquire("s", 0.0, 1)
-    assert not allowance.try_acquire("s", 9.0, 1)
-    assert allowance.try_acquire("s", 10.0, 1)
+    budget = RetryBudget(lambda: RetryLimits(0.0, 10.0, 2.0))
+    assert budget.try_acquire("s", 0.0, 1)
+    assert not budget.try_acquire("s", 9.0, 1)
+    assert budget.try_acquire("s", 10.0, 1)
