--- a/packages/policies/src/sycamorenotch_policies/_choice.py
+++ b/packages/policies/src/sycamorenotch_policies/_choice.py
@@ -59,7 +59,11 @@
     def choose(
         self, now: timedelta, tried: frozenset[str] = NO_WORKERS_TRIED
     ) -> Choice | None:
-        """Choose a worker that was not tried and count the request in flight."""
+        """Choose a worker that was not tried and count the request in flight.
+
+        :param tried: names of workers that received the request already.
+        :return: none if no other worker can get the request.
+        """
         ...
 
     def finish(
@@ -151,7 +155,11 @@
     def choose(
         self, now: timedelta, tried: frozenset[str] = NO_WORKERS_TRIED
     ) -> Choice | None:
-        """Choose a worker that was not tried and count the request in flight."""
+        """Choose a worker that was not tried and count the request in flight.
+
+        :param tried: names of workers that received the request already.
+        :return: none if no other worker can get the request.
+        """
         self.table.start_due_probes(now)
         region = self._draw_region()
         usable = self.table.usable(region)
@@ -201,7 +209,11 @@
     def choose(
         self, now: timedelta, tried: frozenset[str] = NO_WORKERS_TRIED
     ) -> Choice | None:
-        """Choose the next worker that was not tried and count the request in flight."""
+        """Choose the next worker that was not tried and count the request in flight.
+
+        :param tried: names of workers that received the request already.
+        :return: none if no other worker can get the request.
+        """
         self.table.start_due_probes(now)
         usable = [s for r in sorted(self.table.regions()) for s in self.table.usable(r)]
         untried = [s for s in usable if s.worker.name not in tried]
@@ -217,7 +229,11 @@
     def choose(
         self, now: timedelta, tried: frozenset[str] = NO_WORKERS_TRIED
     ) -> Choice | None:
-        """Choose a worker that was not tried and count the request in flight."""
+        """Choose a worker that was not tried and count the request in flight.
+
+        :param tried: names of workers that received the request already.
+        :return: none if no other worker can get the request.
+        """
         self.table.start_due_probes(now)
         region = self._draw_region()
         usable = self.table.usable(region)
--- a/packages/policies/src/sycamorenotch_policies/_idle_timeout.py
+++ b/packages/policies/src/sycamorenotch_policies/_idle_timeout.py
@@ -22,7 +22,10 @@
 
 @final
 class AdaptiveIdleTimeout:
-    """Learns the idle time after which servers silently drop connections."""
+    """Learns the idle time after which servers silently drop connections.
+
+    All times are in seconds, ``now`` on the monotonic clock.
+    """
 
     def __init__(self) -> None:
         self._limit_s = inf
--- a/packages/policies/src/sycamorenotch_policies/_liveness.py
+++ b/packages/policies/src/sycamorenotch_policies/_liveness.py
@@ -59,7 +59,7 @@
     """Instances that this one considers alive by their heartbeats.
 
     An instance is alive until :data:`MISSED_HEARTBEATS` intervals have passed
-    without a heartbeat from it.
+    without a heartbeat from it. All times are seconds on the monotonic clock.
 
     :param own_id: identifier of this instance.
     """
@@ -76,7 +76,6 @@
     def observe(self, heartbeat: Heartbeat, now: float) -> bool:
         """Record a heartbeat; one that is not newer than the last is discarded.
 
-        :param now: monotonic clock in seconds.
         :return: whether the instance was not alive before.
         """
         name = heartbeat.entry.id
--- a/packages/policies/src/sycamorenotch_policies/_lookup.py
+++ b/packages/policies/src/sycamorenotch_policies/_lookup.py
@@ -25,6 +25,7 @@
 from sycamorenotch_kernel import PlanRoute
 from sycamorenotch_policies._blocks import BlockTable
 
+# Instances in an answer, and how many of them are in the serving region.
 MAX_INSTANCES = 4
 MAX_SERVING_INSTANCES = 3
 BUCKET_COUNT = 1024
--- a/packages/policies/src/sycamorenotch_policies/_rendezvous.py
+++ b/packages/policies/src/sycamorenotch_policies/_rendezvous.py
@@ -39,6 +39,8 @@
 
     Every instance is the successor of exactly one other, so that each is
     observed whatever the size of the ring.
+
+    :return: none if there is no other instance.
     """
     others = {weight("ring", i): i for i in instances if i != own_id}
     if not others:
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -122,7 +122,10 @@
         return sum(1 for sent_at in self.sent if sent_at > now - 1.0)
 
     def record_success(self, latency_s: float) -> None:
-        """Record a regular answer of the worker."""
+        """Record a regular answer of the worker.
+
+        :param latency_s: time from the request to the answer, in seconds.
+        """
         self.failures = 0
         self.unreachable = False
         known = self.latency_s
@@ -150,6 +153,8 @@
 class WorkerDirectory:
     """Known workers of every service, indexed by service.
 
+    All times are seconds on the monotonic clock.
+
     :param region_of: returns the region of a data centre.
     """
 
@@ -239,7 +244,7 @@
     def mark_missing(self, worker: str, until: float) -> None:
         """Keep a worker for now whose entry may only have expired.
 
-        :param until: monotonic time at which the worker is removed unless its
+        :param until: time at which the worker is removed unless its
             entry comes back.
         """
         view = self._views.get(worker)
--- a/testing/policies/test_lookup.py
+++ b/testing/policies/test_lookup.py
@@ -131,7 +131,7 @@
         ("balance", (), ErrorKind.NO_UPSTREAM),
     ],
 )
-def test_lookup_fails_when_nothing_serves(
+def test_lookup_fails_when_service_is_unknown_or_no_instance_is_live(
     service: str, instances: tuple[ListedInstance, ...], kind: ErrorKind
 ) -> None:
     table = LookupTable(ENVIRONMENT)
--- a/testing/policies/test_plan_checks.py
+++ b/testing/policies/test_plan_checks.py
@@ -90,7 +90,7 @@
         pytest.param(0.9, 0.9, 0, id="over the budget by demand alone"),
     ],
 )
-def test_excess_links_when_route_crosses_a_link(
+def test_link_is_reported_only_when_plan_adds_load_over_its_budget(
     share: float, before: float, excess: int
 ) -> None:
     # 10,000 answers of 100 kB are twice the 4 Gbit/s of the link.
