--- a/testing/policies/test_steering.py
+++ b/testing/policies/test_steering.py
@@ -102,7 +102,7 @@
     return [e for made in decided for e in made.events if e.number == number]
 
 
-def test_every_client_is_served_in_its_region_when_no_region_is_loaded() -> None:
+def test_every_client_is_served_in_its_region_when_no_region_is_overloaded() -> None:
     decided = run(view_of(), 10)
     assert all(len(route.shares) == 1 for route in decided[-1].plan.routes)
     assert [made.changed for made in decided[1:]] == [False] * 9
