--- a/packages/gateway/src/sycamorenotch_gateway/_front_end.py
+++ b/packages/gateway/src/sycamorenotch_gateway/_front_end.py
@@ -21,7 +21,7 @@
 from sycamorenotch_kernel import Refusal
 from sycamorenotch_kernel import front_ends
 from sycamorenotch_kernel import gateway_components
-from sycamorenotch_policies import lookup_answer
+from sycamorenotch_policies import choose_instances
 from sycamorenotch_transport import Handler
 from sycamorenotch_transport import Http1Server
 from sycamorenotch_transport import HttpLimits
@@ -150,7 +150,7 @@
         if query is None:
             return HttpResponse(404)
         bounds = self._node.settings.bounds
-        found = lookup_answer(
+        found = choose_instances(
             self._peers.serving(),
             query.region,
             query.data_centre,
--- a/packages/policies/src/sycamorenotch_policies/__init__.py
+++ b/packages/policies/src/sycamorenotch_policies/__init__.py
@@ -81,7 +81,7 @@
 from sycamorenotch_policies._membership import Membership
 from sycamorenotch_policies._membership import PeerState
 from sycamorenotch_policies._membership import Transition
-from sycamorenotch_policies._named_instances import lookup_answer
+from sycamorenotch_policies._named_instances import choose_instances
 from sycamorenotch_policies._outcomes import Outcome
 from sycamorenotch_policies._plan_checks import excess_grants
 from sycamorenotch_policies._plan_checks import excess_links
@@ -234,6 +234,7 @@
     "WriteLease",
     "apportion",
     "assess",
+    "choose_instances",
     "excess_grants",
     "excess_links",
     "excess_shifts",
@@ -241,7 +242,6 @@
     "hash_to_unit_interval",
     "heartbeat_interval_s",
     "lease_candidates",
-    "lookup_answer",
     "make_plan",
     "neighbours",
     "pick_service",
--- a/packages/policies/src/sycamorenotch_policies/_named_instances.py
+++ b/packages/policies/src/sycamorenotch_policies/_named_instances.py
@@ -17,7 +17,7 @@
 SIMILAR_STRENGTH_SHARE = 0.8
 
 
-def lookup_answer(
+def choose_instances(
     serving: Iterable[Heartbeat], region: str, data_centre: str, most: int
 ) -> tuple[PeerEntry, ...]:
     """Return the instances that a look-up answer names to a caller.
--- a/testing/policies/test_named_instances.py
+++ b/testing/policies/test_named_instances.py
@@ -7,7 +7,7 @@
 from sycamorenotch_kernel import PeerEntry
 from sycamorenotch_kernel import Resources
 from sycamorenotch_policies import Heartbeat
-from sycamorenotch_policies import lookup_answer
+from sycamorenotch_policies import choose_instances
 
 REGIONS = {"a": "west", "b": "west", "c": "east"}
 STRONG = Resources(2.0, 200.0)
@@ -20,7 +20,7 @@
 
 
 def named(*heartbeats: Heartbeat, place: str = "a", most: int = 64) -> list[str]:
-    found = lookup_answer(heartbeats, REGIONS[place], place, most)
+    found = choose_instances(heartbeats, REGIONS[place], place, most)
     return [entry.id for entry in found]
 
 
