--- a/packages/policies/src/sycamorenotch_policies/_lookup.py
+++ b/packages/policies/src/sycamorenotch_policies/_lookup.py
@@ -25,6 +25,7 @@
 from sycamorenotch_kernel import PlanRoute
 from sycamorenotch_policies._blocks import BlockTable
 
+# Instances in an answer, and how many of them are in the serving region.
 MAX_INSTANCES = 4
 MAX_SERVING_INSTANCES = 3
 BUCKET_COUNT = 1024
@@ -61,7 +62,7 @@
 
     Callers are hashed by address into a fixed number of buckets. A bucket keeps
     its instances while the plan and the instance list are unchanged, and a change
-    of shares moves only as many buckets as the change requires.
+    of shares moves only the buckets next to the boundaries between regions.
 
     :param environment: the environment document in force.
     :param home: region for addresses outside all client blocks.
--- a/packages/policies/src/sycamorenotch_policies/_worker_directory.py
+++ b/packages/policies/src/sycamorenotch_policies/_worker_directory.py
@@ -122,7 +122,10 @@
         return sum(1 for sent_at in self.sent if sent_at > now - 1.0)
 
     def record_success(self, latency_s: float) -> None:
-        """Record a regular answer of the worker."""
+        """Record a regular answer of the worker.
+
+        :param latency_s: time from the request to the answer, in seconds.
+        """
         self.failures = 0
         self.unreachable = False
         known = self.latency_s
@@ -150,6 +153,8 @@
 class WorkerDirectory:
     """Known workers of every service, indexed by service.
 
+    All times are seconds on the monotonic clock.
+
     :param region_of: returns the region of a data centre.
     """
 
@@ -174,7 +179,10 @@
         return 0.0 if limits is None else limits.cold_s
 
     def usable(self, service: str, now: float) -> tuple[WorkerView, ...]:
-        """Return the workers of a service that are not in backoff."""
+        """Return the workers of a service that may get requests.
+
+        Workers that are draining, under evacuation or in backoff are left out.
+        """
         return tuple(
             view
             for view in self._services.get(service, ())
@@ -182,7 +190,10 @@
         )
 
     def known(self, service: str) -> tuple[WorkerView, ...]:
-        """Return the workers of a service, including those in backoff."""
+        """Return the workers of a service, including those in backoff.
+
+        Workers that are draining or under evacuation are left out.
+        """
         return self._services.get(service, ())
 
     def describe(self, service: str, now: float) -> str:
@@ -194,7 +205,7 @@
                 view.entry.data_centre in self._evacuated for view in views
             ),
             "pause after failures": sum(now < view.backoff_until for view in views),
-            "have just started": sum(now < view.cold_until for view in views),
+            "are in cold start": sum(now < view.cold_until for view in views),
             "are unresponsive": sum(now >= view.unresponsive_from() for view in views),
         }
         parts = [f"{count} {what}" for what, count in counts.items() if count]
@@ -233,7 +244,7 @@
     def mark_missing(self, worker: str, until: float) -> None:
         """Keep a worker for now whose entry may only have expired.
 
-        :param until: monotonic time at which the worker is removed unless its
+        :param until: time at which the worker is removed unless its
             entry comes back.
         """
         view = self._views.get(worker)
--- a/packages/workbench/src/sycamorenotch_workbench/_fleet.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_fleet.py
@@ -23,7 +23,7 @@
 from sycamorenotch_workbench._control import CONTROL
 from sycamorenotch_workbench._control import ENVIRONMENT
 from sycamorenotch_workbench._control import ControlDaemon
-from sycamorenotch_workbench._control import control_daemon
+from sycamorenotch_workbench._control import build_control_daemon
 from sycamorenotch_workbench._example import EXAMPLES
 from sycamorenotch_workbench._example import LOOPBACK
 from sycamorenotch_workbench._example import free_ports
@@ -109,7 +109,7 @@
         self.table.create(KIND, ENVIRONMENT, self.text.encode())
         for slot in self.slots:
             self.add(slot)
-        self.list_all()
+        self.publish_instances()
         for daemon in self.daemons.values():
             await daemon.start()
         await self.until(lambda: self.in_force(self.generation))
@@ -118,7 +118,7 @@
         """Build the daemon of a slot; a former one must have been stopped."""
         name, place, port = slot
         adapter = HttpStore(self._url, self._reactor) if self._over_http else None
-        daemon = control_daemon(
+        daemon = build_control_daemon(
             self._reactor,
             self.table,
             name,
@@ -130,7 +130,7 @@
         self.daemons[name] = daemon
         return daemon
 
-    def list_all(self, missing: Sequence[str] = ()) -> None:
+    def publish_instances(self, missing: Sequence[str] = ()) -> None:
         """Set the platform's list to every daemon but the missing ones."""
         listed = tuple(
             d.listed for name, d in self.daemons.items() if name not in missing
