--- a/packages/policies/src/sycamorenotch_policies/_membership.py
+++ b/packages/policies/src/sycamorenotch_policies/_membership.py
@@ -273,10 +273,10 @@
         return member.listed and member.awaiting_since is None and not suspect
 
     def _is_forgettable(self, member: _Member, now: timedelta) -> bool:
-        last_answer_at = (
+        heard_at = (
             member.state_since if member.last_heard_at is None else member.last_heard_at
         )
-        return now - max(last_answer_at, member.state_since) >= FORGET_AFTER
+        return now - max(heard_at, member.state_since) >= FORGET_AFTER
 
     def _enter(
         self, member: _Member, state: MemberState, now: timedelta
