--- a/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
@@ -16,7 +16,7 @@
 from sycamorenotch_daemon._plan_messages import PlanConfirmation
 from sycamorenotch_daemon._plan_messages import PlanQuestion
 from sycamorenotch_daemon._plan_watch import PlanWatch
-from sycamorenotch_daemon._worker_news import observe_workers
+from sycamorenotch_daemon._worker_observations import observe_workers
 from sycamorenotch_kernel import InstanceId
 from sycamorenotch_kernel import Plan
 from sycamorenotch_kernel import components
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
@@ -21,7 +21,7 @@
 from sycamorenotch_daemon._plan_events import PlanWritten
 from sycamorenotch_daemon._plan_messages import PlanQuestion
 from sycamorenotch_daemon._plan_watch import PlanWatch
-from sycamorenotch_daemon._worker_news import FleetWorkers
+from sycamorenotch_daemon._worker_observations import FleetWorkers
 from sycamorenotch_kernel import DecisionKind
 from sycamorenotch_kernel import DecisionRecord
 from sycamorenotch_kernel import DrainKind
--- a/testing/daemon/plan/test_worker_news.py
+++ b/testing/daemon/plan/test_worker_observations.py
@@ -11,7 +11,7 @@
 from sycamorenotch_daemon._plan_messages import DemandReport
 from sycamorenotch_daemon._plan_messages import PlanQuestion
 from sycamorenotch_daemon._plan_messages import WorkerNews
-from sycamorenotch_daemon._worker_news import FleetWorkers
+from sycamorenotch_daemon._worker_observations import FleetWorkers
 from sycamorenotch_kernel import InstanceId
 from sycamorenotch_kernel import Rank
 
