--- a/packages/workbench/src/sycamorenotch_workbench/__init__.py
+++ b/packages/workbench/src/sycamorenotch_workbench/__init__.py
@@ -1,4 +1,4 @@
-"""Local example, demonstration, benchmarks and long runs."""
+"""Local example, demonstration, benchmarks and soak tests."""
 
 from __future__ import annotations
 
--- a/packages/workbench/src/sycamorenotch_workbench/_event_queue.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_event_queue.py
@@ -1,4 +1,4 @@
-"""A queue of timed calls under a virtual clock."""
+"""Queue of scheduled calls under a virtual clock."""
 
 from __future__ import annotations
 
@@ -12,9 +12,11 @@
 @final
 @dataclass(order=True, slots=True)
 class Timer:
-    """One timed call; calls of the same time run in the order of their number.
+    """Scheduled call; calls due at the same time run in the order of their number.
 
     :param time: virtual time in seconds.
+    :param number: position in the order of scheduling.
+    :param function: function to call, or None once run or cancelled.
     """
 
     time: float
@@ -22,7 +24,7 @@
     function: Callable[[], object] | None = field(compare=False)
 
     def active(self) -> bool:
-        """Return whether the call is still to be made."""
+        """Return whether the call is pending."""
         return self.function is not None
 
     def cancel(self) -> None:
@@ -32,7 +34,7 @@
 
 @final
 class EventQueue:
-    """Runs timed calls in order and moves the virtual clock to each."""
+    """Runs scheduled calls in order and advances the virtual clock to each."""
 
     def __init__(self) -> None:
         self._now = 0.0
@@ -44,7 +46,7 @@
         return self._now
 
     def call_later(self, delay: float, function: Callable[[], object]) -> Timer:
-        """Run a function after a delay in seconds."""
+        """Schedule a function after a delay in seconds; negative delays count as 0."""
         self._count += 1
         timer = Timer(self._now + max(0.0, delay), self._count, function)
         heapq.heappush(self._timers, timer)
@@ -53,7 +55,7 @@
     def step(self, limit: float | None = None) -> bool:
         """Run the next call.
 
-        :param limit: time in seconds past which no call is run.
+        :param limit: virtual time in seconds; calls due later are not run.
         :return: whether a call was run.
         """
         self._drop_cancelled()
@@ -67,7 +69,7 @@
         return True
 
     def run_until(self, limit: float) -> None:
-        """Run every call that is due up to a time in seconds."""
+        """Run every call due up to a virtual time in seconds."""
         while self.step(limit):
             pass
         self._now = max(self._now, limit)
--- a/packages/workbench/src/sycamorenotch_workbench/_example.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_example.py
@@ -1,4 +1,4 @@
-"""A whole local system in one process: two instances and every stand-in."""
+"""Complete local system in one process: instances, store and upstream stand-ins."""
 
 from __future__ import annotations
 
@@ -59,12 +59,12 @@
 
 @final
 class LocalExample:
-    """Runs an example document on loopback.
+    """Runs the system of an example document on loopback.
 
-    :param reactor: the one loop of the process.
+    :param reactor: reactor of the process.
     :param document: name of a document under ``examples/``.
     :param instances: number of entry instances.
-    :param state: directory for the operators' token; a temporary one if absent.
+    :param state: directory for the operators' token; a temporary one by default.
     """
 
     def __init__(
@@ -107,7 +107,7 @@
         self._directory.cleanup()
 
     def describe(self) -> dict[str, Any]:
-        """Return the addresses of everything that listens."""
+        """Return the listening addresses and the services as JSON types."""
         settings = [daemon.node.settings for daemon in self.daemons]
         return {
             "ready": True,
@@ -199,10 +199,10 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that are free on loopback at this moment.
+    """Return ports that are currently free on loopback.
 
-    The ports lie below those that the system gives to outgoing connections,
-    so that no connection of this process takes one before it is listened on.
+    The ports lie below the ephemeral range, so that no outgoing connection
+    takes one before it is bound.
     """
     candidates = SystemRandom().sample(LISTENING_PORTS, len(LISTENING_PORTS))
     return list(islice(filter(_is_free, candidates), count))
--- a/packages/workbench/src/sycamorenotch_workbench/_golden_sessions.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_golden_sessions.py
@@ -1,4 +1,4 @@
-"""The scripts of the golden sessions."""
+"""Scripts of the golden sessions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @golden_sessions.register("calm-morning")
 def calm_morning(session: GoldenSession) -> None:
-    """Look up, call in every rank, and redeem twice with one key."""
+    """Look up, call in every rank, and repeat a redemption with the same key."""
     session.send(WEST, "GET", "/v1/lookup?service=lookup&client=10.2.0.7")
     session.advance(SECOND)
     for rank in ("urgent", "standard", "deferrable"):
@@ -35,7 +35,7 @@
 
 @golden_sessions.register("region-loss")
 def region_loss(session: GoldenSession) -> None:
-    """Lose the upstreams and the instance of one region."""
+    """Kill the workers and the instance of one region."""
     session.spread(
         6, 3 * SECOND, lambda n: session.send(EAST, "GET", _lookup("urgent", n))
     )
@@ -65,19 +65,19 @@
 
 @golden_sessions.register("deferrable-flood")
 def deferrable_flood(session: GoldenSession) -> None:
-    """Flood with the least urgent rank while urgent work arrives."""
+    """Overload with deferrable requests while urgent requests arrive."""
     _flood(session, "deferrable", "urgent")
 
 
 @golden_sessions.register("urgent-flood")
 def urgent_flood(session: GoldenSession) -> None:
-    """Flood with the most urgent rank while deferrable work arrives."""
+    """Overload with urgent requests while deferrable requests arrive."""
     _flood(session, "urgent", "deferrable")
 
 
 @golden_sessions.register("planned-drain")
 def planned_drain(session: GoldenSession) -> None:
-    """Drain a data centre and stop its instance, then undo the drain."""
+    """Drain a data centre that serves requests, then undo the drain."""
     path = "/v1/drains/production/data-centre/east-a"
     session.operate(WEST, "PUT", path, {"Author": "first-operator"})
     session.spread(
@@ -90,7 +90,7 @@
 
 @golden_sessions.register("store-outage")
 def store_outage(session: GoldenSession) -> None:
-    """Redeem before, during and after an outage of the store."""
+    """Redeem before, during and after a store outage."""
     session.redeem(WEST, "before")
     session.advance(SECOND)
     session.note("the store is down")
@@ -107,7 +107,7 @@
 
 @golden_sessions.register("promotion-race")
 def promotion_race(session: GoldenSession) -> None:
-    """Let two operators change the same document at once."""
+    """Let two operators change the same document concurrently."""
     for instance, author, cap in ((WEST, "first", "10%"), (EAST, "second", "30%")):
         body = soak_document().replace("cap = 20%", f"cap = {cap}").encode()
         headers = {"Author": author, "If-Match": '"1"'}
@@ -118,7 +118,7 @@
 
 @golden_sessions.register("poison-request")
 def poison_request(session: GoldenSession) -> None:
-    """Send a request that crashes every upstream that runs it."""
+    """Send a request that crashes every worker that runs it."""
     for worker in session.system.workers.values():
         worker.fault.set("crash", 0.0, None, path="/urgent/666")
     session.spread(
--- a/packages/workbench/src/sycamorenotch_workbench/_soak_document.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_soak_document.py
@@ -1,4 +1,4 @@
-"""The small environment document of randomised runs."""
+"""Small environment document for randomised runs and golden sessions."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 
 def soak_document() -> str:
-    """Return a document with three regions and two services."""
+    """Return an environment document with three regions and two services."""
     numbered = list(enumerate(REGIONS, start=1))
     regions = [_REGION.format(name=name, index=index) for index, name in numbered]
     links = [
--- a/packages/workbench/src/sycamorenotch_workbench/_soak_machine.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_soak_machine.py
@@ -1,4 +1,4 @@
-"""A hypothesis state machine over whole virtual systems."""
+"""Hypothesis state machine that injects faults into a simulated system."""
 
 from __future__ import annotations
 
@@ -30,25 +30,26 @@
 )
 UPSTREAM_MODES = ("none", "slow", "crash", "cut", "drain", "shed")
 STORE_MODES = ("none", "down", "slow", "lose_answers")
-FLOOD_SIZE = 25
+FLOOD_REQUESTS = 25
 INSTANCE_FAULTS = ("killed", "replaced", "paused")
-TIME_OF_STEP = timedelta(milliseconds=30)
+STEP_DURATION = timedelta(milliseconds=30)
 REPLACEMENT_DELAY = timedelta(seconds=3)
-RECOVERY = timedelta(seconds=40)
+RECOVERY_TIME = timedelta(seconds=40)
 
 instance_names = st.sampled_from(INSTANCES)
-steps_of_time = st.sampled_from(
+durations = st.sampled_from(
     [timedelta(milliseconds=ms) for ms in (1, 5, 20, 100, 500, 2000, 5000)]
 )
-counts = st.sampled_from([1, 2, 5, None])
+fault_counts = st.sampled_from([1, 2, 5, None])
 
 
 @final
 @dataclass(slots=True)
-class Pending:
-    """A request that was sent.
+class SentRequest:
+    """Request that was sent.
 
-    :param reply: the reply, once it has arrived.
+    :param key: idempotency key of a protected request.
+    :param reply: reply, or None until it arrives.
     """
 
     instance: str
@@ -60,53 +61,63 @@
 @final
 @dataclass(slots=True)
 class Totals:
-    """What randomised runs did, over all examples."""
+    """Counts over all examples of a run.
+
+    :param steps: number of executed rules.
+    :param faults: injected faults by kind.
+    :param events: emitted events by name.
+    :param replies: replies by HTTP status or error.
+    """
 
     steps: int = 0
     faults: Counter[str] = None  # type: ignore[assignment]
-    decisions: Counter[str] = None  # type: ignore[assignment]
+    events: Counter[str] = None  # type: ignore[assignment]
     replies: Counter[str] = None  # type: ignore[assignment]
 
     def __post_init__(self) -> None:
         self.faults = Counter()
-        self.decisions = Counter()
+        self.events = Counter()
         self.replies = Counter()
 
 
 class SoakMachine(RuleBasedStateMachine):
-    """Sends requests and brings about faults at any moment."""
+    """Sends requests and injects faults in random order.
+
+    Hypothesis draws from the rules in the order of their names: a rename that
+    changes this order changes the examples of every seed.
+    """
 
     totals = Totals()
 
     @initialize(seed=st.integers(min_value=0, max_value=2**32 - 1))
     def start(self, seed: int) -> None:
-        """Start a system of three instances."""
+        """Start a simulated system with three instances."""
         self.system = VirtualSystem(soak_document(), instances=3, seed=seed)
-        self.requests: list[Pending] = []
-        self.served: dict[str, int] = defaultdict(int)
+        self.requests: list[SentRequest] = []
+        self.served_generations: dict[str, int] = defaultdict(int)
         self.system.advance(timedelta(seconds=3))
 
     def _step(self, fault: str | None = None) -> None:
         self.totals.steps += 1
-        self.system.advance(TIME_OF_STEP)
+        self.system.advance(STEP_DURATION)
         if fault is not None:
             self.totals.faults[fault] += 1
 
     def _send(
         self, instance: str, method: str, path: str, key: str | None = None
     ) -> None:
-        pending = Pending(instance, path, key)
-        self.requests.append(pending)
+        sent_request = SentRequest(instance, path, key)
+        self.requests.append(sent_request)
         headers = {} if key is None else {"Idempotency-Key": key}
         body = None if key is None else b"{}"
         service = "lookup" if key is None else "action"
         deferred: Deferred[Reply] = self.system.request(
             instance, method, f"/v1/call/{service}{path}", headers, body
         )
-        deferred.addCallback(self._received, pending)
+        deferred.addCallback(self._record_reply, sent_request)
 
-    def _received(self, reply: Reply, pending: Pending) -> None:
-        pending.reply = reply
+    def _record_reply(self, reply: Reply, sent_request: SentRequest) -> None:
+        sent_request.reply = reply
         kind = reply.error or str(reply.status)
         self.totals.replies[kind] += 1
 
@@ -118,99 +129,107 @@
 
     @rule(instance=instance_names, key=st.sampled_from(KEYS))
     def send_redemption(self, instance: str, key: str) -> None:
-        """Send a protected request, perhaps for a key that was used before."""
+        """Send a protected request; its key may have been used before."""
         self._step()
         self._send(instance, "POST", f"/redemptions/{key}", key)
 
     @rule(key=st.sampled_from(KEYS))
     def send_redemption_everywhere(self, key: str) -> None:
-        """Send the same protected request through every instance at once."""
+        """Send the same protected request through every instance concurrently."""
         self._step()
         for instance in INSTANCES:
             self._send(instance, "POST", f"/redemptions/{key}", key)
 
     @rule(path=st.sampled_from(LOOKUP_PATHS), instance=instance_names)
     def flood(self, path: str, instance: str) -> None:
-        """Send many requests of one rank at once."""
+        """Send a burst of requests of one rank."""
         self._step("flood")
-        for _ in range(FLOOD_SIZE):
+        for _ in range(FLOOD_REQUESTS):
             self._send(instance, "GET", path)
 
     @rule(instance=instance_names)
-    def ask_for_instances(self, instance: str) -> None:
-        """Look up a service and check the generation."""
+    def call_lookup_endpoint(self, instance: str) -> None:
+        """Look up a service and check that the served generation never decreases."""
         self._step()
         deferred = self.system.request(
             instance, "GET", "/v1/lookup?service=lookup&client=10.1.0.7"
         )
-        deferred.addCallback(self._looked_up, instance)
+        deferred.addCallback(self._check_generation, instance)
 
-    def _looked_up(self, reply: Reply, instance: str) -> None:
+    def _check_generation(self, reply: Reply, instance: str) -> None:
         if reply.status == 200:
             generation = reply.json()["generation"]
-            assert generation >= self.served[instance], "the generation decreased"
-            self.served[instance] = generation
+            assert generation >= self.served_generations[instance], (
+                "the served generation decreased"
+            )
+            self.served_generations[instance] = generation
 
-    @rule(duration=steps_of_time)
-    def let_time_pass(self, duration: timedelta) -> None:
+    @rule(duration=durations)
+    def pass_time(self, duration: timedelta) -> None:
         """Advance the virtual clock."""
         self._step()
         self.system.advance(duration)
 
     @rule(instance=instance_names, fault=st.sampled_from(INSTANCE_FAULTS))
     def fault_instance(self, instance: str, fault: str) -> None:
-        """Kill, replace or pause an instance; the platform mends it later."""
+        """Kill, restart or pause an instance; it recovers after a delay."""
         self._step(f"instance {fault}")
         queue = self.system.network.queue
-        found = self.system.instances[instance]
+        target = self.system.instances[instance]
         if fault == "replaced":
             self.system.restart(instance)
         elif fault == "killed":
             self.system.kill(instance)
         else:
-            found.host.pause()
+            target.host.pause()
         delay = REPLACEMENT_DELAY.total_seconds()
-        queue.call_later(delay, lambda: self._mend(instance))
+        queue.call_later(delay, lambda: self._recover_instance(instance))
 
-    def _mend(self, instance: str) -> None:
-        found = self.system.instances[instance]
-        found.host.resume()
-        if found.host.dead:
+    def _recover_instance(self, instance: str) -> None:
+        target = self.system.instances[instance]
+        target.host.resume()
+        if target.host.dead:
             self.system.restart(instance)
 
     @rule(
         first=st.sampled_from(REGIONS),
         second=st.sampled_from(REGIONS),
-        duration=steps_of_time,
+        duration=durations,
     )
     def cut_regions(self, first: str, second: str, duration: timedelta) -> None:
-        """Hold all data between two regions for some time."""
+        """Partition two regions for a duration."""
         if first != second:
             self._step("regions cut")
             network = self.system.network
-            network.cut(first, second)
+            network.partition(first, second)
             network.queue.call_later(duration.total_seconds(), network.heal)
 
-    @rule(mode=st.sampled_from(STORE_MODES), count=counts)
+    @rule(mode=st.sampled_from(STORE_MODES), count=fault_counts)
     def fault_store(self, mode: str, count: int | None) -> None:
-        """Set a fault of the store."""
+        """Inject a fault into the store.
+
+        :param count: number of affected requests; None for no limit.
+        """
         self._step(f"store {mode}")
         self.system.store.fault.set(mode, 3.0, count)
 
     @rule(
         number=st.integers(min_value=0, max_value=5),
         mode=st.sampled_from(UPSTREAM_MODES),
-        count=counts,
+        count=fault_counts,
     )
     def fault_upstream(self, number: int, mode: str, count: int | None) -> None:
-        """Set a fault of an upstream."""
+        """Inject a fault into a worker.
+
+        :param count: number of affected requests; None for no limit.
+        """
         self._step(f"upstream {mode}")
         name = sorted(self.system.workers)[number]
         self.system.workers[name].fault.set(mode, 3.0, count)
 
     @rule(cap=st.sampled_from(["10%", "20%", "30%"]))
     def change_document(self, cap: str) -> None:
-        """Write a valid document; the operators' interface stores no other."""
+        """Store a valid document; the operators' API rejects invalid ones."""
         self._step("document changed")
         text = soak_document().replace("cap = 20%", f"cap = {cap}")
         current = self.system.table.get("environments", "production").ok
@@ -220,62 +239,62 @@
 
     @invariant()
     def no_invariant_is_violated(self) -> None:
-        """The program's own assertions have held."""
+        """No daemon has recorded a violated invariant."""
         if not hasattr(self, "system"):
             return
         for instance in self.system.instances.values():
             for daemon in instance.daemons():
-                broken = {
+                violations = {
                     item.name: count
                     for item, count in daemon.node.invariants.violations.items()
                     if count
                 }
-                assert not broken, f"{instance.name} violated {broken}"
+                assert not violations, f"{instance.name} violated {violations}"
 
     @invariant()
     def protected_requests_run_at_most_once(self) -> None:
-        """No key has run twice, over all upstreams."""
+        """No key was executed more than once, over all workers."""
         if hasattr(self, "system"):
-            runs = self._runs()
-            twice = {key: count for key, count in runs.items() if count > 1}
-            assert not twice, f"ran more than once: {twice}"
+            executions = self._count_executions()
+            repeated = {key: count for key, count in executions.items() if count > 1}
+            assert not repeated, f"ran more than once: {repeated}"
 
     @invariant()
-    def answers_are_true(self) -> None:
-        """Every answer is whole, belongs to its request and tells the truth."""
+    def answers_are_correct(self) -> None:
+        """Every answer matches its request and states ``ran`` correctly."""
         if not hasattr(self, "system"):
             return
-        for pending in self.requests:
-            if pending.reply is not None and pending.reply.status == 200:
-                body = pending.reply.json()
-                assert body["path"] == pending.path
+        for sent_request in self.requests:
+            if sent_request.reply is not None and sent_request.reply.status == 200:
+                body = sent_request.reply.json()
+                assert body["path"] == sent_request.path
         self._check_not_run()
 
     def _check_not_run(self) -> None:
         replies: defaultdict[str, list[str | None]] = defaultdict(list)
-        for pending in self.requests:
-            if pending.key is not None:
-                ran = None if pending.reply is None else pending.reply.ran
-                replies[pending.key].append(ran)
-        runs = self._runs()
+        for sent_request in self.requests:
+            if sent_request.key is not None:
+                ran = None if sent_request.reply is None else sent_request.reply.ran
+                replies[sent_request.key].append(ran)
+        executions = self._count_executions()
         for key, answers in replies.items():
             if all(ran == "no" for ran in answers):
-                assert runs[key] == 0, f"{key} was stated as not run, but ran"
+                assert executions[key] == 0, f"{key} was reported as not run, but ran"
 
-    def _runs(self) -> Counter[str]:
+    def _count_executions(self) -> Counter[str]:
         return sum(
             (worker.executions for worker in self.system.workers.values()), Counter()
         )
 
     def teardown(self) -> None:
-        """End every fault and check that the system recovers."""
+        """Clear every fault and check that the system recovers."""
         if not hasattr(self, "system"):
             return
         try:
             self._recover()
             self._check_recovered()
         finally:
-            self._count_decisions()
+            self._count_events()
             self.system.close()
 
     def _recover(self) -> None:
@@ -287,29 +306,32 @@
             instance.host.resume()
             if instance.host.dead:
                 self.system.restart(instance.name)
-        self.system.advance(RECOVERY)
+        self.system.advance(RECOVERY_TIME)
 
     def _check_recovered(self) -> None:
-        lost = [pending for pending in self.requests if pending.reply is None]
-        assert not lost, f"requests without any reply: {lost[:3]}"
+        unanswered = [
+            sent_request for sent_request in self.requests if sent_request.reply is None
+        ]
+        assert not unanswered, f"requests without any reply: {unanswered[:3]}"
         self.protected_requests_run_at_most_once()
-        self.answers_are_true()
+        self.answers_are_correct()
         for name in INSTANCES:
-            # A path that was not sent before cannot be in quarantine.
+            # No rule sends this path, so it cannot be quarantined.
             reply = self.system.call(name, "GET", "/v1/call/lookup/urgent/new")
             assert reply.status == 200, f"{name} has not recovered: {reply}"
         self.no_invariant_is_violated()
 
-    def _count_decisions(self) -> None:
-        names = (entry.event.name for entry in self.system.entries)
-        self.totals.decisions.update(names)
+    def _count_events(self) -> None:
+        names = (entry.event.name for entry in self.system.recorded_events)
+        self.totals.events.update(names)
 
 
 def machine_settings(steps: int, examples: int, **options: Any) -> dict[str, Any]:
     """Return the hypothesis settings of a run.
 
-    :param steps: steps of each example.
-    :param examples: number of examples.
+    :param steps: maximum number of steps in each example.
+    :param examples: maximum number of examples.
+    :param options: further settings.
     """
     return {
         "stateful_step_count": steps,
--- a/packages/workbench/src/sycamorenotch_workbench/_virtual_host.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_virtual_host.py
@@ -1,6 +1,6 @@
-"""The reactor and the sockets of one virtual process.
+"""Fake reactor and TCP sockets of one simulated process.
 
-Protocols run unchanged: each process gets a :class:`VirtualHost` in place of
+Protocols run unmodified: each process gets a :class:`VirtualHost` in place of
 the reactor.
 """
 
@@ -35,7 +35,7 @@
 @implementer(IDelayedCall)
 @final
 class VirtualCall:
-    """A delayed call of one host, which waits while the host is paused."""
+    """Delayed call of one host; a call due during a pause runs on resume."""
 
     def __init__(self, host: VirtualHost, function: Action) -> None:
         self._host = host
@@ -45,7 +45,10 @@
         self._timer: Any = None
 
     def schedule(self, delay: float) -> VirtualCall:
-        """Schedule the call after a delay in seconds."""
+        """Schedule the call.
+
+        :param delay: delay in seconds.
+        """
         queue = self._host.network.queue
         self._timer = queue.call_later(delay, lambda: self._host.run(self._fire))
         return self
@@ -56,29 +59,33 @@
             self._function()
 
     def getTime(self) -> float:
-        """Return the time of the call."""
+        """Return the virtual time at which the call is due, in seconds."""
         return float(self._timer.time)
 
     def cancel(self) -> None:
-        """Cancel the call."""
+        """Cancel the call.
+
+        :raises AlreadyCalled: if the call has run.
+        :raises AlreadyCancelled: if the call was cancelled before.
+        """
         self._check()
         self._cancelled = True
         if self._timer.active():
             self._timer.cancel()
 
     def delay(self, secondsLater: float) -> None:
-        """Delay the call further."""
+        """Postpone the call by a number of seconds."""
         self.reset(self.getTime() - self._host.seconds() + secondsLater)
 
     def reset(self, secondsFromNow: float) -> None:
-        """Reschedule the call from now."""
+        """Reschedule the call to a number of seconds from now."""
         self._check()
         if self._timer.active():
             self._timer.cancel()
         self.schedule(secondsFromNow)
 
     def active(self) -> bool:
-        """Return whether the call is still to be made."""
+        """Return whether the call is pending."""
         return not (self._done or self._cancelled)
 
     def _check(self) -> None:
@@ -91,7 +98,7 @@
 @implementer(IListeningPort)
 @final
 class VirtualPort:
-    """A listening port of a host."""
+    """Listening port of a host."""
 
     def __init__(self, host: VirtualHost, address: str, port: int, factory: Any):
         self.host = host
@@ -99,26 +106,29 @@
         self._key = (address, port)
 
     def startListening(self) -> None:
-        """Accept connections."""
+        """Start to accept connections.
+
+        :raises CannotListenError: if the address is in use.
+        """
         if self._key in self.host.network.listeners:
             raise CannotListenError(*self._key, OSError("address in use"))
         self.host.network.listeners[self._key] = self
         self.factory.doStart()
 
     def stopListening(self) -> Deferred[None]:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         if self.host.network.listeners.pop(self._key, None) is self:
             self.factory.doStop()
         return succeed(None)
 
     def getHost(self) -> IPv4Address:
-        """Return the address of the port."""
+        """Return the address that the port listens on."""
         return IPv4Address("TCP", *self._key)
 
 
 @final
 class VirtualConnector:
-    """A connection attempt of a host."""
+    """Connection attempt of a host."""
 
     def __init__(
         self, host: VirtualHost, destination: IPv4Address, factory: Any, timeout: float
@@ -126,7 +136,7 @@
         self._host = host
         self._destination = destination
         self._factory = factory
-        self._over = False
+        self._finished = False
         self._transport: VirtualTransport | None = None
         self._timer = host.callLater(timeout, self._expire)
 
@@ -138,7 +148,7 @@
         port = self._host.network.listeners.get(key)
         network = self._host.network
         if port is None:
-            # A refusal needs a round trip, and no host answers for the address.
+            # No host has the address; the refusal still takes a round trip.
             network.send(self._host, self._host, self._refuse)
             return
         network.send(self._host, port.host, lambda: self._accept(key))
@@ -156,12 +166,12 @@
         if protocol is None:
             self._host.run(self._refuse)
             return
-        # The client is connected before the first data of the server arrives.
-        self._host.network.send(port.host, self._host, lambda: self._opened(client))
+        # Sent first, so that the client is connected before server data arrives.
+        self._host.network.send(port.host, self._host, lambda: self._connected(client))
         server.open(protocol)
 
-    def _opened(self, client: VirtualTransport) -> None:
-        if self._over:
+    def _connected(self, client: VirtualTransport) -> None:
+        if self._finished:
             client.abandon()
             return
         self._finish()
@@ -176,47 +186,49 @@
         self._fail(TimeoutError())
 
     def _fail(self, exc: Exception) -> None:
-        if not self._over:
+        if not self._finished:
             self._finish()
             self._factory.clientConnectionFailed(self, Failure(exc))
 
     def _finish(self) -> None:
-        self._over = True
+        self._finished = True
         if self._timer.active():
             self._timer.cancel()
 
-    def closed(self, reason: Failure) -> None:
-        """Tell the factory that the connection was lost."""
+    def connection_lost(self, reason: Failure) -> None:
+        """Notify the factory that the connection was lost."""
         self._factory.clientConnectionLost(self, reason)
 
     def stopConnecting(self) -> None:
-        """Give up the attempt."""
+        """Abort the attempt."""
         self._fail(TimeoutError())
 
     def disconnect(self) -> None:
-        """Close the connection or give up the attempt."""
+        """Close the connection or abort the attempt."""
         if self._transport is not None:
             self._transport.loseConnection()
         else:
             self.stopConnecting()
 
     def getDestination(self) -> IPv4Address:
-        """Return the address that is connected to."""
+        """Return the remote address."""
         return self._destination
 
 
 @implementer(IReactorTime, IReactorTCP, IReactorPluggableNameResolver)
 @final
 class VirtualHost:
-    """The reactor of one virtual process.
+    """Fake reactor of one simulated process.
 
-    :param place: where the process runs, for latencies and cuts.
-    :param address: IP number of its outgoing connections.
+    :param network: network that connects the hosts.
+    :param location: region of the process; latencies and partitions are set
+        between locations.
+    :param address: source IP address of outgoing connections.
     """
 
-    def __init__(self, network: VirtualNetwork, place: str, address: str) -> None:
+    def __init__(self, network: VirtualNetwork, location: str, address: str) -> None:
         self.network = network
-        self.place = place
+        self.location = location
         self.address = address
         self.dead = False
         self.nameResolver = LiteralResolver()
@@ -227,27 +239,27 @@
         self.transports: dict[VirtualTransport, None] = {}
 
     def seconds(self) -> float:
-        """Return the virtual time."""
+        """Return the virtual time in seconds."""
         return self.network.queue.seconds()
 
     def callLater(
         self, delay: float, callable: Callable[..., object], *args: Any, **kw: Any
     ) -> VirtualCall:
-        """Run a function later on this host."""
+        """Run a function on this host after a delay in seconds."""
         call = VirtualCall(self, lambda: callable(*args, **kw) and None)
         return call.schedule(delay)
 
     def getDelayedCalls(self) -> list[Any]:
-        """Return no calls; they belong to the network's queue."""
+        """Return an empty list; pending calls are kept in the network's queue."""
         return []
 
     def installNameResolver(self, resolver: Any) -> Any:
-        """Replace the name resolver."""
+        """Replace the name resolver and return the previous one."""
         old, self.nameResolver = self.nameResolver, resolver
         return old
 
     def run(self, action: Action) -> None:
-        """Run an action now, after a pause, or never if the process died."""
+        """Run an action; defer it while paused, discard it if the process is dead."""
         if self.dead:
             return
         if self._paused:
@@ -256,18 +268,18 @@
         action()
 
     def pause(self) -> None:
-        """Stop the process from running; its clocks go on."""
+        """Suspend the process; virtual time goes on."""
         self._paused = True
 
     def resume(self) -> None:
-        """Run what became due during the pause, in order."""
+        """Resume the process and run the deferred actions in order."""
         self._paused = False
         backlog, self._backlog = self._backlog, []
         for action in backlog:
             self.run(action)
 
     def kill(self) -> None:
-        """End the process; its peers see their connections lost."""
+        """Terminate the process; its peers lose their connections."""
         for port in list(self._ports):
             port.stopListening()
         for transport in list(self.transports):
@@ -275,18 +287,18 @@
         self.dead = True
 
     def next_port(self) -> int:
-        """Return a port for an outgoing connection."""
+        """Allocate a source port for an outgoing connection."""
         self._last_port += 1
         return self._last_port
 
     def listenTCP(
         self, port: int, factory: Any, backlog: int = 50, interface: str = ""
     ) -> VirtualPort:
-        """Listen on an address."""
-        listening = VirtualPort(self, interface, port, factory)
-        listening.startListening()
-        self._ports.append(listening)
-        return listening
+        """Listen on a TCP address."""
+        listening_port = VirtualPort(self, interface, port, factory)
+        listening_port.startListening()
+        self._ports.append(listening_port)
+        return listening_port
 
     def connectTCP(
         self,
@@ -296,7 +308,10 @@
         timeout: float = 30,
         bindAddress: tuple[str, int] | None = None,
     ) -> VirtualConnector:
-        """Connect to an address."""
+        """Connect to a TCP address.
+
+        :param timeout: connection timeout in seconds.
+        """
         destination = IPv4Address("TCP", host, port)
         connector = VirtualConnector(self, destination, factory, timeout)
         connector.connect()
--- a/packages/workbench/src/sycamorenotch_workbench/_virtual_system.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_virtual_system.py
@@ -1,4 +1,4 @@
-"""A whole system of virtual processes under a virtual clock."""
+"""Complete simulated system under a virtual clock."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 PEERS_PORT = 8081
 OPERATORS_PORT = 8082
 CALLER_TIMEOUT = timedelta(seconds=60)
-TOKEN = "virtual-token-of-the-operators"
+OPERATOR_TOKEN = "virtual-token-of-the-operators"
 
 SETTINGS = """\
 [instance]
@@ -69,10 +69,11 @@
 
 @final
 @dataclass(frozen=True, slots=True)
-class Entry:
-    """An event as one process emitted it.
+class RecordedEvent:
+    """Event emitted by one process.
 
-    :param at: virtual time.
+    :param at: virtual time of emission.
+    :param source: name of the emitting instance.
     """
 
     at: timedelta
@@ -83,9 +84,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a caller received.
+    """Response that a caller received.
 
-    :param status: HTTP status, or 0 if no whole answer arrived.
+    :param status: HTTP status, or 0 if no complete response arrived.
+    :param error: name of the exception if no complete response arrived.
     """
 
     status: int
@@ -94,36 +96,39 @@
     error: str = ""
 
     def json(self) -> Any:
-        """Return the decoded body."""
+        """Return the body decoded from JSON."""
         return json.loads(self.body)
 
     @property
     def ran(self) -> str | None:
-        """What a problem answer states about execution."""
+        """The ``ran`` member of a problem response, or None for other responses."""
         if self.status < 400 or not self.body:
             return None
         return str(self.json().get("ran"))
 
 
 @final
-class _Recorder:
-    def __init__(self, source: str, host: VirtualHost, entries: list[Entry]) -> None:
+class _EventRecorder:
+    def __init__(
+        self, source: str, host: VirtualHost, recorded_events: list[RecordedEvent]
+    ) -> None:
         self._source = source
         self._host = host
-        self._entries = entries
+        self._recorded_events = recorded_events
 
     def emit(self, event: Event) -> None:
-        """Keep the event with its time and source."""
+        """Record the event with its time and source."""
         at = timedelta(seconds=self._host.seconds())
-        self._entries.append(Entry(at, self._source, event))
+        self._recorded_events.append(RecordedEvent(at, self._source, event))
 
 
 @final
 @dataclass(slots=True)
 class Instance:
-    """One entry instance.
+    """Entry instance.
 
-    :param starts: number of times that it was started.
+    :param start_count: number of processes started under the name.
+    :param previous: daemons of the replaced processes, oldest first.
     """
 
     name: str
@@ -132,19 +137,19 @@
     address: str
     host: VirtualHost
     daemon: Daemon
-    starts: int = 1
-    earlier: list[Daemon] = field(default_factory=list)
+    start_count: int = 1
+    previous: list[Daemon] = field(default_factory=list)
 
     def daemons(self) -> list[Daemon]:
-        """Return the daemons of every process that ran under the name."""
-        return [*self.earlier, self.daemon]
+        """Return the daemons of all processes that ran under the name."""
+        return [*self.previous, self.daemon]
 
 
 @final
 class VirtualSystem:
-    """Store, upstreams and entry instances of an environment document.
+    """Simulated store, upstreams and entry instances of an environment document.
 
-    :param text: the environment document; its worker addresses are used.
+    :param text: environment document; workers listen on its addresses.
     :param instances: number of entry instances, spread over data centres.
     :param seed: seed of every random source.
     :param strict: whether a violated invariant raises.
@@ -156,16 +161,16 @@
         self.text = text
         self.environment = parse_environment(text)
         self.network = VirtualNetwork()
-        self.entries: list[Entry] = []
+        self.recorded_events: list[RecordedEvent] = []
         self.table = ObjectTable()
         self.instances: dict[str, Instance] = {}
         self.workers: dict[str, UpstreamWorker] = {}
         self.worker_hosts: dict[str, VirtualHost] = {}
         self._random = Random(seed)
         self._strict = strict
-        self._directory = TemporaryDirectory()
-        self._token_file = Path(self._directory.name) / "token"
-        self._token_file.write_text(TOKEN)
+        self._temporary_directory = TemporaryDirectory()
+        self._token_file = Path(self._temporary_directory.name) / "token"
+        self._token_file.write_text(OPERATOR_TOKEN)
         self._set_latencies()
         self._start_store()
         self._start_workers()
@@ -173,8 +178,8 @@
         self._caller = self._start_caller()
 
     def close(self) -> None:
-        """Remove the temporary files."""
-        self._directory.cleanup()
+        """Delete the temporary files."""
+        self._temporary_directory.cleanup()
 
     def _set_latencies(self) -> None:
         for (source, target), link in self.environment.links.items():
@@ -195,21 +200,21 @@
         for worker in self.environment.workers.values():
             address, _, port = worker.address.rpartition(":")
             host = VirtualHost(self.network, worker.region, address)
-            time = self.environment.services[worker.service].service_time
-            standin = UpstreamWorker(worker.name, worker.slots, time, host)
+            service_time = self.environment.services[worker.service].service_time
+            standin = UpstreamWorker(worker.name, worker.slots, service_time, host)
             self._listen(host, address, int(port), standin.app.resource())
             self.workers[worker.name] = standin
             self.worker_hosts[worker.name] = host
 
     def _start_instances(self, count: int) -> None:
         regions = list(self.environment.regions.values())
-        places = [
+        locations = [
             (region.name, region.data_centres[index])
             for index in range(max(len(r.data_centres) for r in regions))
             for region in regions
             if index < len(region.data_centres)
         ]
-        for index, (region, data_centre) in enumerate(places[:count], start=1):
+        for index, (region, data_centre) in enumerate(locations[:count], start=1):
             self._start_instance(region, data_centre, f"10.200.0.{index}")
 
     def _start_instance(self, region: str, data_centre: str, address: str) -> None:
@@ -242,13 +247,13 @@
                 token_file=self._token_file,
             )
         )
-        around = Surroundings(
+        surroundings = Surroundings(
             clock=ReactorClock(host),
             random=Random(self._random.getrandbits(64)),
-            sink=_Recorder(name, host, self.entries),
+            sink=_EventRecorder(name, host, self.recorded_events),
             strict=self._strict,
         )
-        daemon = build_daemon(settings, host, around)
+        daemon = build_daemon(settings, host, surroundings)
         Deferred.fromCoroutine(daemon.start())
         return host, daemon
 
@@ -264,26 +269,26 @@
         host.listenTCP(port, site, interface=address)
 
     def kill(self, name: str) -> None:
-        """End an instance's process."""
+        """Terminate an instance's process."""
         self.instances[name].host.kill()
 
     def restart(self, name: str) -> None:
-        """Replace an instance by a new process under the same name."""
+        """Replace an instance with a new process of the same name."""
         instance = self.instances[name]
         if not instance.host.dead:
             instance.host.kill()
-        instance.earlier.append(instance.daemon)
+        instance.previous.append(instance.daemon)
         instance.host, instance.daemon = self._build(
             name, instance.region, instance.data_centre, instance.address
         )
-        instance.starts += 1
+        instance.start_count += 1
 
     def advance(self, duration: timedelta) -> None:
-        """Run everything that is due within a duration."""
+        """Advance the virtual clock and run every call that becomes due."""
         self.network.advance(duration)
 
     def wait(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
-        """Run a coroutine and the virtual clock until it has finished."""
+        """Advance the virtual clock until a coroutine finishes; return its result."""
         deferred = Deferred.fromCoroutine(coroutine)
         results: list[Any] = []
         deferred.addBoth(results.append)
@@ -294,8 +299,8 @@
             result.raiseException()
         return result
 
-    def settle(self, deferreds: list[Deferred[Reply]]) -> list[Reply]:
-        """Run the virtual clock until every reply has arrived."""
+    def wait_for_replies(self, deferreds: list[Deferred[Reply]]) -> list[Reply]:
+        """Advance the virtual clock until every reply has arrived."""
 
         async def gather() -> list[Reply]:
             return [await deferred for deferred in deferreds]
@@ -312,7 +317,11 @@
         body: bytes | None = None,
         port: int = CALLERS_PORT,
     ) -> Deferred[Reply]:
-        """Send a caller's request to an instance."""
+        """Send a request to an instance.
+
+        :param instance: name of the instance.
+        :param port: port of the listener; the callers' listener by default.
+        """
         url = f"http://{self.instances[instance].address}:{port}{path}"
         return Deferred.fromCoroutine(self._request(method, url, headers, body))
 
@@ -324,9 +333,9 @@
         headers: Mapping[str, str] | None = None,
         body: bytes | None = None,
     ) -> Reply:
-        """Send a request and run the virtual clock until its reply."""
+        """Send a request and advance the virtual clock until its reply arrives."""
         deferred = self.request(instance, method, path, headers, body)
-        return self.settle([deferred])[0]
+        return self.wait_for_replies([deferred])[0]
 
     async def _request(
         self,
--- a/packages/workbench/src/sycamorenotch_workbench/_virtual_transport.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_virtual_transport.py
@@ -1,4 +1,4 @@
-"""One end of a virtual connection."""
+"""One end of a simulated TCP connection."""
 
 from __future__ import annotations
 
@@ -25,9 +25,11 @@
 @implementer(ITCPTransport, IPushProducer)
 @final
 class VirtualTransport:
-    """Delivers data to the protocol at the other end of a connection.
+    """Transport of one end of a simulated TCP connection.
 
-    :param host: the process that this end belongs to.
+    :param host: process that owns this end.
+    :param local: address of this end.
+    :param remote: address of the other end.
     """
 
     def __init__(
@@ -43,11 +45,11 @@
         self._remote = remote
         self._producer: Any = None
         self._reading = True
-        self._inbox: list[bytes] = []
-        self._remote_end: Failure | None = None
+        self._received: list[bytes] = []
+        self._peer_close_reason: Failure | None = None
 
     def open(self, protocol: Any) -> None:
-        """Attach the protocol of this end."""
+        """Connect the protocol of this end."""
         self.protocol = protocol
         self.connected = True
         self.host.transports[self] = None
@@ -61,98 +63,100 @@
             self.host.network.send(self.host, peer.host, lambda: peer.deliver(copy))
 
     def writeSequence(self, iovec: Iterable[bytes]) -> None:
-        """Send several pieces of data."""
+        """Send the concatenation of several buffers."""
         self.write(b"".join(iovec))
 
     def deliver(self, data: bytes) -> None:
-        """Hand received data to the protocol, unless reading is paused."""
+        """Pass received data to the protocol, or buffer it while reading is paused."""
         if not self.connected:
             return
-        self._inbox.append(data)
-        self._drain()
+        self._received.append(data)
+        self._process_received()
 
-    def _drain(self) -> None:
-        while self._reading and self._inbox and self.connected:
-            data = self._inbox.pop(0)
+    def _process_received(self) -> None:
+        while self._reading and self._received and self.connected:
+            data = self._received.pop(0)
             try:
                 self.protocol.dataReceived(data)
             except Exception:
                 log.err()
-                self._lose(Failure())
-        if self._remote_end is not None and not self._inbox:
-            self._lose(self._remote_end)
+                self._connection_lost(Failure())
+        if self._peer_close_reason is not None and not self._received:
+            self._connection_lost(self._peer_close_reason)
 
     def loseConnection(self, _connDone: Any = None) -> None:
-        """Close the connection after what was written."""
+        """Close the connection once the registered producer has finished."""
         if self.connected and not self.disconnecting:
             self.disconnecting = True
             if self._producer is None:
                 self._close()
 
     def _close(self) -> None:
-        self._end_peer(Failure(ConnectionDone()))
-        self.host.callLater(0, self._lose, Failure(ConnectionDone()))
+        self._close_peer(Failure(ConnectionDone()))
+        self.host.callLater(0, self._connection_lost, Failure(ConnectionDone()))
 
     def abortConnection(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         if self.connected:
             self.disconnecting = True
-            self._end_peer(Failure(ConnectionLost()))
-            self.host.callLater(0, self._lose, Failure(ConnectionAborted()))
+            self._close_peer(Failure(ConnectionLost()))
+            self.host.callLater(0, self._connection_lost, Failure(ConnectionAborted()))
 
     def abandon(self) -> None:
-        """Close the other end only, because this process is gone."""
-        self._end_peer(Failure(ConnectionLost()))
+        """Close only the other end; used when this process is killed."""
+        self._close_peer(Failure(ConnectionLost()))
         self.connected = False
 
-    def _end_peer(self, reason: Failure) -> None:
+    def _close_peer(self, reason: Failure) -> None:
         peer = self.peer
         if peer is not None:
-            self.host.network.send(self.host, peer.host, lambda: peer.end(reason))
+            self.host.network.send(
+                self.host, peer.host, lambda: peer.peer_closed(reason)
+            )
 
-    def end(self, reason: Failure) -> None:
-        """Handle the end of the connection at the other side."""
+    def peer_closed(self, reason: Failure) -> None:
+        """Handle a close by the other end."""
         if not self.connected:
             return
-        self._remote_end = reason
-        if reason.check(ConnectionLost) or not self._inbox:
-            self._lose(reason)
+        self._peer_close_reason = reason
+        if reason.check(ConnectionLost) or not self._received:
+            self._connection_lost(reason)
 
-    def _lose(self, reason: Failure) -> None:
+    def _connection_lost(self, reason: Failure) -> None:
         if not self.connected:
             return
         self.connected = False
         self.disconnecting = True
         self.host.transports.pop(self, None)
-        if self._remote_end is None:
-            self._end_peer(Failure(ConnectionLost()))
+        if self._peer_close_reason is None:
+            self._close_peer(Failure(ConnectionLost()))
         if self._producer is not None:
             self._producer.stopProducing()
             self._producer = None
         self.protocol.connectionLost(reason)
         if self.connector is not None:
-            self.connector.closed(reason)
+            self.connector.connection_lost(reason)
 
     def registerProducer(self, producer: Any, streaming: bool) -> None:
-        """Let a producer write; data is never held back."""
+        """Register a producer; it is never paused, as writes do not block."""
         self._producer = producer
         while not streaming and self._producer is producer:
             producer.resumeProducing()
 
     def unregisterProducer(self) -> None:
-        """Forget the producer and close if that was asked for."""
+        """Unregister the producer and complete a pending close."""
         self._producer = None
         if self.disconnecting and self.connected:
             self._close()
 
     def pauseProducing(self) -> None:
-        """Hold received data."""
+        """Pause reading; received data is buffered."""
         self._reading = False
 
     def resumeProducing(self) -> None:
-        """Go on with received data."""
+        """Resume reading."""
         self._reading = True
-        self.host.callLater(0, self._drain)
+        self.host.callLater(0, self._process_received)
 
     def stopProducing(self) -> None:
         """Close the connection."""
--- a/packages/workbench/src/sycamorenotch_workbench/demo.py
+++ b/packages/workbench/src/sycamorenotch_workbench/demo.py
@@ -1,4 +1,4 @@
-"""A bounded session against the local example."""
+"""Demonstration session against the local example: ``make demo``."""
 
 from __future__ import annotations
 
@@ -27,14 +27,15 @@
 
 
 class UnexpectedAnswerError(Exception):
-    """A step of the session did not end as it should."""
+    """A step of the session had an unexpected result."""
 
 
 @final
 class Session:
-    """Runs the steps and prints what a caller or an operator sees.
+    """Runs the steps and prints the output that a caller or an operator sees.
 
     :param example: a started example.
+    :param reactor: reactor of the process.
     """
 
     def __init__(self, example: LocalExample, reactor: Any) -> None:
@@ -45,7 +46,10 @@
         self._operators: str = described["operators"][0]
 
     async def run(self) -> None:
-        """Run every step."""
+        """Run every step.
+
+        :raises UnexpectedAnswerError: if a step has an unexpected result.
+        """
         await self._command("plugins", shown=3)
         await self._look_up()
         decision = await self._call()
@@ -59,7 +63,7 @@
         await self._command("report", "burn")
 
     async def _look_up(self) -> None:
-        _title("a caller asks which instances to use")
+        _title("a caller looks up the instances of a service")
         url = f"{self._callers}/v1/lookup?service=balance&client={CLIENT}"
         print(f"$ curl '{url}'")
         print(json.dumps(await treq.json_content(await treq.get(url)), indent=2))
@@ -70,11 +74,11 @@
         print(f"$ curl {url}")
         response = await treq.get(url)
         print(response.code, await treq.text_content(response))
-        _require(response.code == 200, "the call was not answered")
+        _require(response.code == 200, "the call was not answered with status 200")
         return str(response.headers.getRawHeaders("Decision-Id")[0])
 
     async def _redeem_twice(self) -> None:
-        _title("the same redemption is sent twice at the same time")
+        _title("the same redemption is sent twice concurrently")
         url = f"{self._callers}/v1/call/redemption/redemptions/1"
         print(f"$ curl -X POST -H 'Idempotency-Key: voucher-77' {url}   # twice")
         sent = [Deferred.fromCoroutine(_redeem(url)) for _ in range(2)]
@@ -85,7 +89,9 @@
         _require(runs == 1, "the redemption did not run exactly once")
 
     async def _promote(self) -> None:
-        _title("an operator tries a smaller cap in trial and promotes it")
+        _title(
+            "an operator tests a smaller cap in the trial environment and promotes it"
+        )
         changed = self._example.token_file.with_name("trial.ini")
         changed.write_text(self._example.text.replace("cap = 10%", "cap = 8%"))
         await self._command("check", str(changed))
@@ -95,10 +101,11 @@
         await self._command("show", "production", shown=12)
 
     async def _drain(self) -> None:
-        _title("an operator drains a data centre, and undoes it")
+        _title("an operator drains a data centre and undoes the drain")
         await self._command("drain", "data-centre", "nadi", wait=True)
         _require(
-            not await self._used_workers("-nadi-"), "a drained worker got new work"
+            not await self._used_workers("-nadi-"),
+            "a drained worker received new requests",
         )
         await self._command("drain", "data-centre", "nadi", wait=True, undo=True)
 
@@ -110,7 +117,7 @@
         return {name for name in used if part in name}
 
     async def _upstream_failure(self) -> None:
-        _title("the upstreams of a data centre cut their answers off")
+        _title("the upstreams of a data centre truncate their responses")
         workers = self._example.workers.values()
         failing = [w for w in workers if w.name.startswith("balance-nadi-")]
         before = sum(worker.served for worker in failing)
@@ -123,7 +130,7 @@
         for worker in failing:
             worker.fault.set("none", 0.0, None)
         cut = sum(worker.served for worker in failing) - before
-        print(f"{cut} answers were cut off by {len(failing)} upstreams")
+        print(f"{cut} responses were truncated by {len(failing)} upstreams")
         print(f"{UPSTREAM_FAILURE_CALLS} calls were answered with {codes}")
 
     async def _command(
@@ -170,11 +177,11 @@
         await Session(example, reactor).run()
     finally:
         await example.stop()
-    print("\nThe session ended as it should.")
+    print("\nThe session completed successfully.")
 
 
 def main() -> None:
-    """Run the session; the exit status is 0 only if every step succeeded."""
+    """Run the session; the exit status is 0 only if every step succeeds."""
     to_file(StringIO())
 
     def start(reactor: Any) -> Deferred[None]:
--- a/packages/workbench/src/sycamorenotch_workbench/golden.py
+++ b/packages/workbench/src/sycamorenotch_workbench/golden.py
@@ -1,4 +1,4 @@
-"""Rewrites the records of the golden sessions."""
+"""Regenerates the records of the golden sessions: ``make golden``."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 GOLDEN_FILES = Path(__file__).parents[4] / "testing" / "workbench" / "golden"
 
-OUTPUT = flags.DEFINE_string("output", str(GOLDEN_FILES), "Folder of the records.")
+OUTPUT = flags.DEFINE_string("output", str(GOLDEN_FILES), "Directory of the records.")
 
 
 def main() -> None:
-    """Write one file for each session."""
+    """Write one file per session."""
     app.run(_run)
 
 
--- a/packages/workbench/src/sycamorenotch_workbench/run.py
+++ b/packages/workbench/src/sycamorenotch_workbench/run.py
@@ -1,4 +1,4 @@
-"""Serves the local example until it is interrupted."""
+"""Serves the local example until it is interrupted: ``make run``."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 from sycamorenotch_workbench._example import LocalExample
 
-# The README names these, so that operators' commands find the token.
+# The README names these paths for the operators' commands.
 STATE = Path("build/local")
 FLAGS = STATE / "flags"
 EXIT_START = 3
 
 
 def main() -> None:
-    """Start the example and print where it listens."""
+    """Start the example and print its addresses as one line of JSON."""
     STATE.mkdir(parents=True, exist_ok=True)
     with (STATE / "events.log").open("w") as log:
         to_file(log)
@@ -48,7 +48,7 @@
         reactor.stop()
 
     reactor.callWhenRunning(lambda: Deferred.fromCoroutine(start()).addErrback(failed))
-    # The reactor turns SIGINT and SIGTERM into this trigger.
+    # The reactor runs this trigger on SIGINT and SIGTERM.
     reactor.addSystemEventTrigger("before", "shutdown", stop)
     reactor.run()
     return status
--- a/packages/workbench/src/sycamorenotch_workbench/soak.py
+++ b/packages/workbench/src/sycamorenotch_workbench/soak.py
@@ -1,4 +1,4 @@
-"""Runs the state machine for long, from a seed."""
+"""Runs the soak test state machine from a seed: ``make soak``."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
 from sycamorenotch_workbench._soak_machine import SoakMachine
 from sycamorenotch_workbench._soak_machine import machine_settings
 
-STEPS_OF_EXAMPLE = 100
+STEPS_PER_EXAMPLE = 100
 
 SEED = flags.DEFINE_integer("seed", 1, "Seed of the run.")
-STEPS = flags.DEFINE_integer("steps", 2000, "Least number of steps.")
-SHRINK = flags.DEFINE_bool("shrink", False, "Whether a failure is made smaller.")
+STEPS = flags.DEFINE_integer("steps", 2000, "Minimum number of steps.")
+SHRINK = flags.DEFINE_bool("shrink", False, "Whether to shrink a failing example.")
 
 
 def main() -> None:
-    """Run until the number of steps is reached and print the totals."""
+    """Run until the step count is reached or an example fails; print the totals."""
     app.run(_run)
 
 
 def _run(argv: list[str]) -> None:
     load_plugins()
-    totals, number, failure = SoakMachine.totals, SEED.value * 1_000_000, None
+    totals, batch, failure = SoakMachine.totals, SEED.value * 1_000_000, None
     while totals.steps < STEPS.value and failure is None:
-        failure = _run_batch(number)
-        number += 1
+        failure = _run_batch(batch)
+        batch += 1
     _print_totals()
     if failure is not None:
         raise failure
 
 
-def _run_batch(number: int) -> Exception | None:
+def _run_batch(batch: int) -> Exception | None:
     options = machine_settings(
-        STEPS_OF_EXAMPLE,
+        STEPS_PER_EXAMPLE,
         5,
         suppress_health_check=list(HealthCheck),
         phases=[Phase.generate, *([Phase.shrink] if SHRINK.value else [])],
         print_blob=False,
     )
-    machine = seed(number)(SoakMachine)
+    machine = seed(batch)(SoakMachine)
     try:
         run_state_machine_as_test(machine, settings=settings(**options))
     except Exception as exc:
@@ -59,7 +59,7 @@
     totals = SoakMachine.totals
     print(f"seed {SEED.value}: {totals.steps} steps")
     _print_counts("faults", totals.faults)
-    _print_counts("events", totals.decisions)
+    _print_counts("events", totals.events)
     _print_counts("replies", totals.replies)
 
 
--- a/testing/daemon/calls/test_answer_invariant.py
+++ b/testing/daemon/calls/test_answer_invariant.py
@@ -32,7 +32,7 @@
     system.close()
     assert (reply.status, reply.json()["kind"]) == (500, "invariant")
     assert reply.ran == "unknown"
-    names = {entry.event.name for entry in system.entries}
+    names = {entry.event.name for entry in system.recorded_events}
     assert "invariant.violated" in names
 
 
--- a/testing/daemon/test_fuzz_borders.py
+++ b/testing/daemon/test_fuzz_borders.py
@@ -112,4 +112,4 @@
     assert reply.status in (200, 400, 409, 422, 503, 504)
     again = system.call(instance, "GET", "/v1/call/lookup/urgent/1")
     assert again.status == 200
-    assert not [e for e in system.entries if e.event.name == "front-end.failed"]
+    assert not [e for e in system.recorded_events if e.event.name == "front-end.failed"]
--- a/testing/workbench/test_broken_mechanisms.py
+++ b/testing/workbench/test_broken_mechanisms.py
@@ -79,5 +79,5 @@
         for number in range(100)
         for rank in ("urgent", "deferrable")
     ]
-    system.settle(sent)
+    system.wait_for_replies(sent)
     assert violations(system, Invariant.I10) > 0
