--- a/packages/workbench/src/sycamorenotch_workbench/_bench_clock.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_bench_clock.py
@@ -1,4 +1,4 @@
-"""Virtual time for measurements: a queue of events and a clock."""
+"""Discrete-event scheduler and clock of the benchmarks."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @final
 class VirtualTime:
-    """Runs actions in the order of their times; nothing waits.
+    """Runs scheduled actions in time order without waiting.
 
     :ivar now_s: virtual time since the start, in seconds.
     """
@@ -29,23 +29,27 @@
         self._queue: list[tuple[float, int, Action]] = []
 
     def after(self, delay_s: float, action: Action) -> None:
-        """Run an action after a delay in seconds."""
+        """Schedule an action after a delay in seconds."""
         heappush(self._queue, (self.now_s + delay_s, next(self._order), action))
 
     def every(self, period_s: float, action: Action, until_s: float) -> None:
-        """Run an action now and then in a fixed period."""
+        """Run an action now and then periodically.
+
+        :param period_s: period in seconds.
+        :param until_s: virtual time in seconds before which the last run starts.
+        """
         action()
         if self.now_s + period_s < until_s:
             self.after(period_s, lambda: self.every(period_s, action, until_s))
 
     def run(self) -> None:
-        """Run every action that is left."""
+        """Run all scheduled actions."""
         while self._queue:
             self.now_s, _, action = heappop(self._queue)
             action()
 
     def now(self) -> datetime:
-        """Return the virtual wall clock time."""
+        """Return the virtual wall-clock time."""
         return START + timedelta(seconds=self.now_s)
 
     def monotonic(self) -> timedelta:
--- a/packages/workbench/src/sycamorenotch_workbench/_bench_entry.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_bench_entry.py
@@ -1,4 +1,4 @@
-"""An entry instance that takes calls through the real decisions."""
+"""Simulated entry instance that applies the registered policies."""
 
 from __future__ import annotations
 
@@ -31,47 +31,59 @@
 from sycamorenotch_policies import Retry
 from sycamorenotch_policies import Ticket
 from sycamorenotch_policies import worker_quotas
-from sycamorenotch_workbench._bench_fleet import FakeFleet
 from sycamorenotch_workbench._bench_fleet import Job
-from sycamorenotch_workbench._bench_results import End
+from sycamorenotch_workbench._bench_fleet import SimulatedFleet
+from sycamorenotch_workbench._bench_results import RequestResult
 from sycamorenotch_workbench._bench_systems import SystemUnderTest
 
 
 @final
 @dataclass(slots=True)
 class Request:
-    """One request of a caller."""
+    """Request of a caller.
+
+    :param source: region of the caller.
+    :param arrived_s: virtual time of arrival in seconds.
+    :param on_end: callback for the result.
+    :param attempts: number of attempts made so far.
+    :param tried: names of the workers tried so far.
+    """
 
     ticket: Ticket
     route: Route
     source: str
     arrived_s: float
-    ended: Callable[[End], None]
+    on_end: Callable[[RequestResult], None]
     attempts: int = 0
     tried: frozenset[str] = frozenset()
 
 
 @final
 class EntryInstance:
-    """Admission, choice and retries of one instance."""
+    """Admission control, worker choice and retries of one instance.
+
+    :param listed: entry of the instance in the platform's list.
+    :param system: policies to apply.
+    :param instances: number of instances that share the workers.
+    """
 
     def __init__(
         self,
         listed: ListedInstance,
         system: SystemUnderTest,
-        fleet: FakeFleet,
+        fleet: SimulatedFleet,
         random: Random,
         invariants: InvariantMonitor,
         instances: int,
     ) -> None:
         self.listed = listed
         self.alive = True
-        self.holding = HeldGrants(listed.id)
-        self._steered = bool(system.steering)
+        self.held_grants = HeldGrants(listed.id)
+        self._uses_steering = bool(system.steering)
         self._fleet = fleet
         self._random = random
         self._routes: dict[tuple[str, str, Rank], PlanRoute] = {}
-        self._waiting: dict[str, tuple[Request, str]] = {}
+        self._pending: dict[str, tuple[Request, str]] = {}
         environment, now = fleet.environment, fleet.time.monotonic()
         bounds = environment.bounds
         self._admissions: dict[tuple[str, str], Any] = {}
@@ -99,10 +111,10 @@
             self._choices[name] = choice
             self._retries[name] = retry_rules.get(system.retry)(random)
 
-    def take_plan(self, plan: Plan) -> None:
-        """Put a plan and a confirmation by the holder in force."""
-        self.holding.accept(plan)
-        self.holding.confirm(plan.sequence, self._fleet.time.monotonic())
+    def apply_plan(self, plan: Plan) -> None:
+        """Apply a plan as confirmed by the lease holder."""
+        self.held_grants.accept(plan)
+        self.held_grants.confirm(plan.sequence, self._fleet.time.monotonic())
         self._routes = {(r.service, r.source, r.rank): r for r in plan.routes}
         for service, choice in self._choices.items():
             for region in self._fleet.environment.regions:
@@ -113,76 +125,82 @@
                 choice.table.set_quotas(region, quotas)
 
     def tick(self) -> None:
-        """Follow the grants and refuse what waited too long."""
+        """Resize admission to the current grants and expire queued requests."""
         now = self._fleet.time.monotonic()
         for (region, service), discipline in self._admissions.items():
-            slots = self.holding.slots(region, service, now)
+            slots = self.held_grants.slots(region, service, now)
             for decision in (*discipline.resize(slots, now), *discipline.expire(now)):
-                self._follow(decision)
+                self._apply_decision(decision)
 
     def mark_leaving(self, worker: str) -> None:
-        """Give a worker no new work."""
+        """Stop dispatching new attempts to a worker."""
         for choice in self._choices.values():
             choice.table.mark_leaving(worker, self._fleet.time.monotonic())
 
     def call(self, req: Request) -> None:
-        """Take one request."""
-        region = self._region(req)
-        self._waiting[req.ticket.id] = (req, region)
+        """Route a request and offer it to admission control."""
+        region = self._choose_region(req)
+        self._pending[req.ticket.id] = (req, region)
         self._retries[req.route.service].count_first_attempt()
         discipline = self._admissions[region, req.route.service]
-        self._follow(discipline.offer(req.ticket, self._fleet.time.monotonic()))
+        self._apply_decision(discipline.offer(req.ticket, self._fleet.time.monotonic()))
 
-    def _region(self, req: Request) -> str:
+    def _choose_region(self, req: Request) -> str:
         route = self._routes.get((req.route.service, req.source, req.route.rank))
         if route is None:
             return self.listed.region
         weights = [item.share for item in route.shares]
         return self._random.choices(route.shares, weights)[0].region
 
-    def _follow(self, decision: Any) -> None:
+    def _apply_decision(self, decision: Any) -> None:
         if isinstance(decision, Admitted):
-            self._attempt(*self._waiting.pop(decision.ticket.id))
+            self._attempt(*self._pending.pop(decision.ticket.id))
         elif isinstance(decision, Refused):
-            req, _ = self._waiting.pop(decision.ticket.id)
-            req.ended(End.REFUSED)
+            req, _ = self._pending.pop(decision.ticket.id)
+            req.on_end(RequestResult.REFUSED)
 
     def _attempt(self, req: Request, region: str) -> None:
         choice = self._choices[req.route.service]
-        if self._steered:
+        if self._uses_steering:
             choice.set_regions({region: 1.0})
         now = self._fleet.time.monotonic()
         chosen = choice.choose(now, req.tried)
         if chosen is None:
             self._release(req, region, 0.0, Outcome.FAILED)
-            req.ended(End.REFUSED)
+            req.on_end(RequestResult.REFUSED)
             return
         worker = chosen.worker
         req.attempts += 1
         req.tried |= {worker.name}
         sent_s = self._fleet.time.now_s
         hop_s = self._fleet.latency_s(self.listed.region, worker.region)
-        alive = self._fleet.workers[worker.name]
+        simulated_worker = self._fleet.workers[worker.name]
 
-        def finished(outcome: Outcome) -> None:
-            ran = None if alive.alive or outcome is not Outcome.FAILED else Ran.NO
-            self._fleet.time.after(hop_s, lambda: ended(outcome, ran))
+        def on_finish(outcome: Outcome) -> None:
+            ran = (
+                None
+                if simulated_worker.alive or outcome is not Outcome.FAILED
+                else Ran.NO
+            )
+            self._fleet.time.after(hop_s, lambda: on_end(outcome, ran))
             if outcome is Outcome.ANSWERED:
                 delay_s = self._fleet.answer_delay_s(
                     worker.region, req.source, req.route.service
                 )
-                self._fleet.time.after(delay_s, lambda: req.ended(End.IN_TIME))
+                self._fleet.time.after(
+                    delay_s, lambda: req.on_end(RequestResult.IN_TIME)
+                )
 
-        def ended(outcome: Outcome, ran: Ran | None) -> None:
+        def on_end(outcome: Outcome, ran: Ran | None) -> None:
             latency_s = self._fleet.time.now_s - sent_s
             latency = self._fleet.time.monotonic() - now
             choice.finish(worker.name, latency, outcome, self._fleet.time.monotonic())
-            self._after(req, region, latency_s, outcome, ran)
+            self._finish_attempt(req, region, latency_s, outcome, ran)
 
-        job = Job(req.source, req.ticket.deadline.total_seconds(), finished)
+        job = Job(req.source, req.ticket.deadline.total_seconds(), on_finish)
         self._fleet.time.after(hop_s, lambda: self._fleet.dispatch(worker, job))
 
-    def _after(
+    def _finish_attempt(
         self,
         req: Request,
         region: str,
@@ -194,7 +212,11 @@
         if retry is None:
             self._release(req, region, latency_s, outcome)
             if outcome is not Outcome.ANSWERED:
-                req.ended(End.LATE if outcome is Outcome.LATE else End.FAILED)
+                req.on_end(
+                    RequestResult.LATE
+                    if outcome is Outcome.LATE
+                    else RequestResult.FAILED
+                )
             return
         self._fleet.time.after(
             retry.delay.total_seconds(), lambda: self._attempt(req, region)
@@ -213,8 +235,8 @@
             self._fleet.environment.services[req.route.service].service_time,
         )
         now = self._fleet.time.monotonic()
-        decided = self._retries[req.route.service].decide(attempt, now)
-        return decided if isinstance(decided, Retry) else None
+        retry_decision = self._retries[req.route.service].decide(attempt, now)
+        return retry_decision if isinstance(retry_decision, Retry) else None
 
     def _release(
         self, req: Request, region: str, latency_s: float, outcome: Outcome
@@ -224,4 +246,4 @@
         latency = now - type(now)(seconds=since_s)
         discipline = self._admissions[region, req.route.service]
         for decision in discipline.release(req.ticket, latency, outcome, now):
-            self._follow(decision)
+            self._apply_decision(decision)
--- a/packages/workbench/src/sycamorenotch_workbench/_bench_results.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_bench_results.py
@@ -1,4 +1,4 @@
-"""Counts and percentiles of one run."""
+"""Counts and latency percentiles of one benchmark run."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from sycamorenotch_kernel import Environment
 from sycamorenotch_kernel import Rank
 
-LOWEST_US = 1
-HIGHEST_US = 3_600_000_000
-DIGITS = 3
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 3
 US_PER_S = 1_000_000
 
 
 @final
 @unique
-class End(Enum):
-    """How a request ended for its caller."""
+class RequestResult(Enum):
+    """Result of a request for its caller."""
 
     IN_TIME = "in time"
     LATE = "late"
@@ -32,83 +32,103 @@
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    return HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 @final
 @dataclass(slots=True)
 class Results:
-    """What one run measured, from the moment of the fault on.
-
-    :ivar drain_s: time until the drained workers were empty, if any drained.
-    :ivar shift: highest share of a service that moved within a window.
+    """Measurements of one run, from the injection of the fault on.
+
+    :ivar measured_s: duration of the measurement in seconds.
+    :ivar result_counts: number of requests by service, rank and result.
+    :ivar latencies: latency of answered requests in microseconds.
+    :ivar region_utilisation: highest utilisation of the slots of a region.
+    :ivar link_utilisation: highest utilisation of a link.
+    :ivar shift: highest share of a service's traffic shifted within a window.
+    :ivar drain_s: time in seconds until drained workers were idle, if any drained.
+    :ivar late_starts: number of attempts dispatched after the leaving time.
+    :ivar violations: number of violated invariants.
+    :ivar plan_us: mean time to make a plan, in microseconds.
     """
 
     environment: Environment
     measured_s: float
-    ends: Counter[tuple[str, Rank, End]] = field(default_factory=Counter)
+    result_counts: Counter[tuple[str, Rank, RequestResult]] = field(
+        default_factory=Counter
+    )
     latencies: dict[Rank, HdrHistogram] = field(
         default_factory=lambda: {rank: _histogram() for rank in Rank}
     )
-    region_use: float = 0.0
-    link_use: float = 0.0
+    region_utilisation: float = 0.0
+    link_utilisation: float = 0.0
     shift: float = 0.0
     drain_s: float | None = None
     late_starts: int = 0
     violations: int = 0
     plan_us: float = 0.0
 
-    def count(self, service: str, rank: Rank, end: End, latency_s: float) -> None:
-        """Count the end of one request."""
-        self.ends[service, rank, end] += 1
-        if end in (End.IN_TIME, End.LATE):
+    def count(
+        self, service: str, rank: Rank, result: RequestResult, latency_s: float
+    ) -> None:
+        """Record the result of a request and its latency in seconds."""
+        self.result_counts[service, rank, result] += 1
+        if result in (RequestResult.IN_TIME, RequestResult.LATE):
             self.latencies[rank].record_value(max(1, int(latency_s * US_PER_S)))
 
     def offered(self, rank: Rank, service: str | None = None) -> int:
-        """Return the number of requests of a rank."""
-        return sum(self._count(rank, end, service) for end in End)
+        """Return the number of requests of a rank, for one service or for all."""
+        return sum(
+            self._count_results(rank, result, service) for result in RequestResult
+        )
 
     def in_time(self, rank: Rank, service: str | None = None) -> int:
-        """Return the number of requests answered in time."""
-        return self._count(rank, End.IN_TIME, service)
+        """Return the number of requests answered within their deadline."""
+        return self._count_results(rank, RequestResult.IN_TIME, service)
 
-    def misses(self, rank: Rank) -> float:
-        """Return the share of a rank that was not answered in time."""
+    def miss_share(self, rank: Rank) -> float:
+        """Return the share of a rank's requests not answered within their deadline."""
         offered = self.offered(rank)
         return 1 - self.in_time(rank) / offered if offered else 0.0
 
-    def refused(self, rank: Rank) -> float:
-        """Return the share of a rank that was refused as not run."""
+    def refused_share(self, rank: Rank) -> float:
+        """Return the share of a rank's requests that were refused without running."""
         offered = self.offered(rank)
-        return self._count(rank, End.REFUSED, None) / offered if offered else 0.0
+        return (
+            self._count_results(rank, RequestResult.REFUSED, None) / offered
+            if offered
+            else 0.0
+        )
 
     def percentile_ms(self, rank: Rank, percent: float) -> float:
-        """Return a percentile of the latency of answered requests."""
+        """Return a percentile of the latency of answered requests, in milliseconds."""
         return float(self.latencies[rank].get_value_at_percentile(percent)) / 1000
 
     def goodput(self) -> float:
-        """Return the worth of the answers in time, per second."""
+        """Return the total worth of requests answered in time, per second."""
         ranks = self.environment.ranks
         worth = sum(ranks[rank].worth * self.in_time(rank) for rank in ranks)
         return worth / self.measured_s
 
-    def highest_goodput(self) -> float:
-        """Return the worth per second if every slot ran the best work offered."""
-        return sum(map(self._highest_of, self.environment.services))
+    def max_goodput(self) -> float:
+        """Return the upper bound of goodput, with all slots on the highest worth."""
+        return sum(map(self._max_goodput_of, self.environment.services))
 
-    def _highest_of(self, service: str) -> float:
+    def _max_goodput_of(self, service: str) -> float:
         slots = sum(w.slots for w in self.environment.workers_of(service))
         service_time = self.environment.services[service].service_time
-        left, worth = slots / service_time.total_seconds(), 0.0
+        remaining, worth = slots / service_time.total_seconds(), 0.0
         by_worth = sorted(self.environment.ranks.values(), key=lambda r: -r.worth)
         for policy in by_worth:
-            served = min(left, self.offered(policy.rank, service) / self.measured_s)
-            left -= served
+            served = min(
+                remaining, self.offered(policy.rank, service) / self.measured_s
+            )
+            remaining -= served
             worth += served * policy.worth
         return worth
 
-    def floor_kept(self, rank: Rank, service: str) -> float:
-        """Return the answers in time as a share of what the floor grants."""
+    def floor_attainment(self, rank: Rank, service: str) -> float:
+        """Return the answers in time as a share of the floor, or of lower demand."""
         slots = sum(w.slots for w in self.environment.workers_of(service))
         service_time = self.environment.services[service].service_time
         capacity = slots / service_time.total_seconds() * self.measured_s
@@ -117,9 +137,11 @@
         )
         return self.in_time(rank, service) / granted if granted else 1.0
 
-    def _count(self, rank: Rank, end: End, service: str | None) -> int:
+    def _count_results(
+        self, rank: Rank, result: RequestResult, service: str | None
+    ) -> int:
         return sum(
             number
-            for (name, r, e), number in self.ends.items()
-            if r is rank and e is end and service in (None, name)
+            for (name, r, e), number in self.result_counts.items()
+            if r is rank and e is result and service in (None, name)
         )
--- a/packages/workbench/src/sycamorenotch_workbench/_bench_run.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_bench_run.py
@@ -1,4 +1,4 @@
-"""One run: a scenario, a system, callers and the holder of the plan."""
+"""Benchmark run: callers, instances and planning of one system in one scenario."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 from sycamorenotch_workbench._bench_clock import VirtualTime
 from sycamorenotch_workbench._bench_entry import EntryInstance
 from sycamorenotch_workbench._bench_entry import Request
-from sycamorenotch_workbench._bench_fleet import FakeFleet
-from sycamorenotch_workbench._bench_results import End
+from sycamorenotch_workbench._bench_fleet import SimulatedFleet
+from sycamorenotch_workbench._bench_results import RequestResult
 from sycamorenotch_workbench._bench_results import Results
 from sycamorenotch_workbench._bench_scenarios import FAULT_AT_S
 from sycamorenotch_workbench._bench_scenarios import Scenario
@@ -42,19 +42,19 @@
 
 INSTANCES_PER_REGION = 3
 CALLERS_PER_REGION = 24
-SOURCE_SHARES = (0.38, 0.34, 0.28)
+REGION_DEMAND_SHARES = (0.38, 0.34, 0.28)
 PLAN_PERIOD_S = 1.0
 TICK_S = 0.1
-DETECTION_S = 2.0
-LIST_LAG_S = 4.0
-DEMAND_WEIGHT = 0.2
+FAILURE_DETECTION_S = 2.0
+LIST_DELAY_S = 4.0
+DEMAND_SMOOTHING_FACTOR = 0.2
 
-Answers = dict[tuple[str, str, int], tuple[float, tuple[ListedInstance, ...]]]
+LookupCache = dict[tuple[str, str, int], tuple[float, tuple[ListedInstance, ...]]]
 
 
 @final
 class Run:
-    """Drives one system through one scenario."""
+    """Simulates one system in one scenario."""
 
     def __init__(
         self,
@@ -68,11 +68,11 @@
         self._system = system
         self._random = Random(seed)
         self._time = VirtualTime()
-        self._fleet = FakeFleet(environment, self._time, self._random)
+        self._fleet = SimulatedFleet(environment, self._time, self._random)
         self._invariants = InvariantMonitor(EventList())
         self._lookups = LookupTable(environment)
         self._instances = self._build_instances()
-        self._answers: Answers = {}
+        self._lookup_cache: LookupCache = {}
         self._plan: Plan | None = None
         self._ids = count()
         self._offered: Counter[tuple[str, str, Rank]] = Counter()
@@ -84,15 +84,15 @@
         self.results = Results(environment, measured_s)
 
     def run(self) -> Results:
-        """Run the scenario to its end."""
+        """Run the scenario and return its measurements."""
         end_s = self._scenario.duration_s
-        self._time.every(PLAN_PERIOD_S, self._control, end_s)
+        self._time.every(PLAN_PERIOD_S, self._update_plan, end_s)
         self._time.every(TICK_S, self._tick, end_s)
         for route, source in product(self._environment.routes, range(3)):
             self._next_arrival(route, source)
-        self._time.after(FAULT_AT_S, self._inject)
+        self._time.after(FAULT_AT_S, self._inject_fault)
         self._time.run()
-        self._close()
+        self._compute_totals()
         return self.results
 
     def _build_instances(self) -> dict[InstanceId, EntryInstance]:
@@ -121,27 +121,30 @@
             for item in listed
         }
 
-    def _inject(self) -> None:
+    def _inject_fault(self) -> None:
         regions = list(self._environment.regions.values())
         for worker in self._fleet.workers.values():
-            if self._scenario.lost and worker.worker.region == regions[-1].name:
+            if self._scenario.region_lost and worker.worker.region == regions[-1].name:
                 worker.kill()
             drained = regions[0].data_centres[1]
             if self._scenario.drained and worker.worker.data_centre == drained:
                 worker.leaving_since_s = self._time.now_s
-                worker.emptied_s = self._time.now_s if not worker.in_flight else None
+                worker.idle_since_s = self._time.now_s if not worker.in_flight else None
                 for instance in self._instances.values():
                     instance.mark_leaving(worker.worker.name)
         for instance in self._instances.values():
-            if self._scenario.lost and instance.listed.region == regions[-1].name:
+            if (
+                self._scenario.region_lost
+                and instance.listed.region == regions[-1].name
+            ):
                 instance.alive = False
 
     def _next_arrival(self, route: Route, source: int) -> None:
         rate = route_rate(self._environment, self._scenario, route, self._time.now_s)
-        shares = SOURCE_SHARES
-        if self._scenario.lagging and self._time.now_s >= FAULT_AT_S:
-            # The load moves while the measurements still show the old one.
-            shares = SOURCE_SHARES[::-1]
+        shares = REGION_DEMAND_SHARES
+        if self._scenario.stale_measurements and self._time.now_s >= FAULT_AT_S:
+            # The demand moves while the measurements still show the old regions.
+            shares = REGION_DEMAND_SHARES[::-1]
         delay_s = self._random.expovariate(rate * shares[source])
         if self._time.now_s + delay_s < self._scenario.duration_s:
             self._time.after(delay_s, lambda: self._arrive(route, source))
@@ -154,7 +157,7 @@
         caller = self._random.randrange(CALLERS_PER_REGION)
         instance = self._look_up(route.service, region, caller)
         if instance is None:
-            req.ended(End.FAILED)
+            req.on_end(RequestResult.FAILED)
             return
         hop_s = self._fleet.latency_s(region, instance.listed.region)
         self._time.after(hop_s, lambda: instance.call(req))
@@ -163,39 +166,39 @@
         arrived_s = self._time.now_s
         deadline_s = self._environment.ranks[route.rank].deadline.total_seconds()
 
-        def ended(end: End) -> None:
+        def on_end(end: RequestResult) -> None:
             latency_s = self._time.now_s - arrived_s
-            late = end is End.IN_TIME and latency_s > deadline_s
+            late = end is RequestResult.IN_TIME and latency_s > deadline_s
             if arrived_s >= FAULT_AT_S:
-                found = End.LATE if late else end
-                self.results.count(route.service, route.rank, found, latency_s)
+                result = RequestResult.LATE if late else end
+                self.results.count(route.service, route.rank, result, latency_s)
 
         deadline = timedelta(seconds=arrived_s + deadline_s)
         ticket = Ticket(str(next(self._ids)), route.rank, deadline)
-        return Request(ticket, route, region, arrived_s, ended)
+        return Request(ticket, route, region, arrived_s, on_end)
 
     def _look_up(self, service: str, region: str, caller: int) -> EntryInstance | None:
         key = (service, region, caller)
-        expires_s, listed = self._answers.get(key, (-1.0, ()))
+        expires_s, listed = self._lookup_cache.get(key, (-1.0, ()))
         if expires_s <= self._time.now_s:
             block = self._environment.regions[region].client_blocks[-1]
             address = ip_address(int(block.network_address) + caller + 1)
             answer = self._lookups.answer(service, address).ok
             listed = answer.instances
             lifetime_s = answer.lifetime.total_seconds()
-            self._answers[key] = (self._time.now_s + lifetime_s, listed)
-        found = (self._instances[item.id] for item in listed)
-        return next((item for item in found if item.alive), None)
+            self._lookup_cache[key] = (self._time.now_s + lifetime_s, listed)
+        candidates = (self._instances[item.id] for item in listed)
+        return next((item for item in candidates if item.alive), None)
 
     def _tick(self) -> None:
         for instance in self._instances.values():
             if instance.alive:
                 instance.tick()
 
-    def _control(self) -> None:
+    def _update_plan(self) -> None:
         for key in product(self._environment.services, self._environment.regions, Rank):
             change = self._offered[key] / PLAN_PERIOD_S - self._demand[key]
-            self._demand[key] += DEMAND_WEIGHT * change
+            self._demand[key] += DEMAND_SMOOTHING_FACTOR * change
         self._offered.clear()
         listed = self._listed()
         if self._system.steering:
@@ -203,13 +206,13 @@
         self._lookups.update(self._plan, listed)
 
     def _listed(self) -> tuple[ListedInstance, ...]:
-        known = self._time.now_s >= FAULT_AT_S + LIST_LAG_S
+        known = self._time.now_s >= FAULT_AT_S + LIST_DELAY_S
         return tuple(
             item.listed for item in self._instances.values() if item.alive or not known
         )
 
     def _make_plan(self, listed: tuple[ListedInstance, ...]) -> None:
-        view = self._measure(listed)
+        view = self._build_view(listed)
         started_s = perf_counter()
         decided = make_plan(view, self._plan, self._time.now())
         self._plan_times_s.append(perf_counter() - started_s)
@@ -218,22 +221,24 @@
         self._plan = decided.plan
         for instance in self._instances.values():
             if instance.alive:
-                instance.take_plan(decided.plan)
+                instance.apply_plan(decided.plan)
 
-    def _measure(self, listed: tuple[ListedInstance, ...]) -> SteeringView:
+    def _build_view(self, listed: tuple[ListedInstance, ...]) -> SteeringView:
         now_s, environment = self._time.now_s, self._environment
         contacts = tuple(
             InstanceContact(
                 name,
-                item.holding.sequence,
+                item.held_grants.sequence,
                 timedelta() if item.alive else timedelta(seconds=now_s - FAULT_AT_S),
             )
             for name, item in self._instances.items()
         )
         holder = next(n for n, item in self._instances.items() if item.alive)
-        lag_s = max(0.0, now_s - FAULT_AT_S) if self._scenario.lagging else 0.0
+        lag_s = (
+            max(0.0, now_s - FAULT_AT_S) if self._scenario.stale_measurements else 0.0
+        )
         if lag_s and self._view is not None:
-            return self._aged(self._view, contacts)
+            return self._age_view(self._view, contacts)
         demands = tuple(
             Demand(*key, self._demand[key], timedelta(seconds=PLAN_PERIOD_S))
             for key in sorted(
@@ -244,7 +249,7 @@
                 }
             )
         )
-        detected = now_s >= FAULT_AT_S + DETECTION_S
+        detected = now_s >= FAULT_AT_S + FAILURE_DETECTION_S
         workers = tuple(
             WorkerReport(
                 name,
@@ -259,7 +264,7 @@
         )
         return self._view
 
-    def _aged(
+    def _age_view(
         self, view: SteeringView, contacts: tuple[InstanceContact, ...]
     ) -> SteeringView:
         step = timedelta(seconds=PLAN_PERIOD_S)
@@ -277,8 +282,8 @@
         for service in self._environment.services:
             moved = total = 0.0
             for route in (r for r in new.routes if r.service == service):
-                rate = self._true_rate(service, route.rank)
-                rate *= SOURCE_SHARES[regions.index(route.source)]
+                rate = self._actual_rate(service, route.rank)
+                rate *= REGION_DEMAND_SHARES[regions.index(route.source)]
                 known = before[route.service, route.source, route.rank]
                 gains = (
                     max(0.0, item.share - known.share_of(item.region))
@@ -288,14 +293,14 @@
                 total += rate
             self._shifts.append((self._time.now_s, service, moved / total))
 
-    def _true_rate(self, service: str, rank: Rank) -> float:
+    def _actual_rate(self, service: str, rank: Rank) -> float:
         return sum(
             route_rate(self._environment, self._scenario, route, self._time.now_s)
             for route in self._environment.routes
             if (route.service, route.rank) == (service, rank)
         )
 
-    def _close(self) -> None:
+    def _compute_totals(self) -> None:
         results, window = self.results, self._environment.shift.window
         results.shift = max(
             (
@@ -308,8 +313,10 @@
             ),
             default=0.0,
         )
-        results.region_use = max(self._fleet.highest_use.values(), default=0.0)
-        results.link_use = self._fleet.highest_link_use()
+        results.region_utilisation = max(
+            self._fleet.max_utilisation.values(), default=0.0
+        )
+        results.link_utilisation = self._fleet.max_link_utilisation()
         results.late_starts = self._fleet.late_starts
         results.violations = sum(self._invariants.violations.values())
         if self._plan_times_s:
@@ -317,5 +324,5 @@
             results.plan_us = mean_s * 1e6
         leaving = [w for w in self._fleet.workers.values() if w.leaving_since_s]
         if leaving:
-            emptied_s = max(w.emptied_s or self._time.now_s for w in leaving)
-            results.drain_s = max(0.0, emptied_s - FAULT_AT_S)
+            idle_since_s = max(w.idle_since_s or self._time.now_s for w in leaving)
+            results.drain_s = max(0.0, idle_since_s - FAULT_AT_S)
--- a/packages/workbench/src/sycamorenotch_workbench/_bench_systems.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_bench_systems.py
@@ -1,4 +1,4 @@
-"""The system and the baselines that it is measured against."""
+"""System under test and the baselines that it is compared with."""
 
 from __future__ import annotations
 
@@ -9,9 +9,13 @@
 @final
 @dataclass(frozen=True, slots=True)
 class SystemUnderTest:
-    """Names of registered policies that make up one system.
+    """Combination of registered policies.
 
-    :param steering: steering policy, or an empty string for none.
+    :param name: name in the output.
+    :param steering: name of the steering policy, or an empty string for none.
+    :param admission: name of the admission discipline.
+    :param choice: name of the worker choice.
+    :param retry: name of the retry rule.
     """
 
     name: str
@@ -22,7 +26,7 @@
 
     @property
     def is_baseline(self) -> bool:
-        """Whether this is what the system is compared with."""
+        """Whether this is a baseline."""
         return not self.steering
 
 
--- a/packages/workbench/src/sycamorenotch_workbench/_control.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_control.py
@@ -1,4 +1,4 @@
-"""Daemons that run only their control components, for tests and slopes."""
+"""Daemons that run only control components, for tests and scaling measurements."""
 
 from __future__ import annotations
 
@@ -34,7 +34,12 @@
 @final
 @dataclass
 class ControlDaemon:
-    """The control components of one daemon on a store of its own adapter."""
+    """Control components of one daemon, with its own store adapter.
+
+    :param store: in-memory store adapter.
+    :param sink: events emitted by the daemon.
+    :param components: components in the order of start.
+    """
 
     node: Node
     store: MemoryStore
@@ -42,7 +47,7 @@
     components: list[Component] = field(default_factory=list)
 
     def build(self, names: Sequence[str]) -> None:
-        """Build components in the order of their names."""
+        """Build the components of the given names, in order."""
         self.components = [components.get(name)(self.node) for name in names]
 
     async def start(self) -> None:
@@ -51,14 +56,14 @@
             await component.start()
 
     async def stop(self) -> None:
-        """Stop the components in the opposite order."""
+        """Stop the components in reverse order."""
         self.node.stopping = True
         for component in reversed(self.components):
             await component.stop()
 
     @property
     def listed(self) -> ListedInstance:
-        """The daemon's entry in the platform's list."""
+        """Entry of the daemon in the platform's list of instances."""
         settings = self.node.settings
         return ListedInstance(
             id=InstanceId(settings.instance),
@@ -75,25 +80,31 @@
     reactor: Any,
     table: ObjectTable,
     name: str,
-    place: tuple[str, str],
+    location: tuple[str, str],
     port: int,
     *,
     key: bytes = PEER_KEY,
     names: Sequence[str] = CONTROL,
     adapter: Any = None,
 ) -> ControlDaemon:
-    """Build a daemon of control components that listens on loopback.
+    """Build a daemon that runs only control components on loopback.
 
-    :param place: region and data centre.
+    :param table: objects of the store.
+    :param name: name of the instance, which seeds its random source.
+    :param location: region and data centre.
     :param port: port of the peers' listener.
-    :param adapter: store adapter; one over the table if absent.
+    :param key: key that authenticates peers.
+    :param names: names of the components, in the order of start.
+    :param adapter: store adapter; an in-memory one over the table by default.
     """
     clock, random, sink = ReactorClock(reactor), Random(name), EventList()
     store = MemoryStore(table, reactor)
-    inner = store if adapter is None else adapter
-    guard = StoreGuard(inner, reactor, clock, random, sink, STORE_CALLS_PER_SECOND)
+    store_adapter = store if adapter is None else adapter
+    guard = StoreGuard(
+        store_adapter, reactor, clock, random, sink, STORE_CALLS_PER_SECOND
+    )
     node = Node(
-        settings=_settings(name, place, port),
+        settings=_settings(name, location, port),
         reactor=reactor,
         clock=clock,
         random=random,
@@ -111,8 +122,8 @@
     return daemon
 
 
-def _settings(name: str, place: tuple[str, str], port: int) -> DaemonSettings:
-    region, data_centre = place
+def _settings(name: str, location: tuple[str, str], port: int) -> DaemonSettings:
+    region, data_centre = location
     return DaemonSettings(
         instance=name,
         environment=ENVIRONMENT,
--- a/packages/workbench/src/sycamorenotch_workbench/_decision_cost.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_decision_cost.py
@@ -1,4 +1,4 @@
-"""Time of one admission and of one upstream choice as a service grows."""
+"""Measures the time of one admission and one worker choice by number of workers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 ROUNDS = 5
 SEED = 1
 SLOTS = 4
-# Busy enough that draws meet workers without a free slot.
+# High enough that random draws hit workers without a free slot.
 BUSY_SHARE = 0.7
 NANOSECONDS_PER_MICROSECOND = 1000
 
@@ -45,7 +45,7 @@
 
 
 def measure(decide: Callable[[], None]) -> float:
-    """Return the time of one decision in the fastest round, in microseconds."""
+    """Return the mean time of a decision in the fastest round, in microseconds."""
     return min(_rounds(decide)) / DECISIONS / NANOSECONDS_PER_MICROSECOND
 
 
@@ -61,8 +61,8 @@
     return InvariantMonitor(EventList(), strict=True)
 
 
-def choice_of(workers: int) -> Callable[[], None]:
-    """Return a function that makes one choice and finishes the request."""
+def make_choice(workers: int) -> Callable[[], None]:
+    """Return a function that chooses a worker and finishes the request."""
     setup = ChoiceSetup(
         "west", SERVICE_TIME, 1, BOUNDS, Random(SEED), EventList(), _monitor()
     )
@@ -85,16 +85,18 @@
     return Worker(name, "balance", "west", "a", address, SLOTS, 360, cost)
 
 
-def admission_of(workers: int) -> Callable[[], None]:
-    """Return a function that offers a request to a busy service and frees a slot."""
+def make_admission(workers: int) -> Callable[[], None]:
+    """Return a function that offers a request to a full service and frees a slot."""
     ranks = {r: RankPolicy(r, 1.0, 0.25, timedelta(seconds=1)) for r in Rank}
     setup = AdmissionSetup(workers * SLOTS, ranks, SERVICE_TIME, _monitor())
-    admission, numbers, turn = RankedAdmission(setup), count(), list(Rank)
+    admission, numbers, rank_cycle = RankedAdmission(setup), count(), list(Rank)
     running: list[Ticket] = []
 
     def offer() -> None:
         number = next(numbers)
-        ticket = Ticket(str(number), turn[number % len(turn)], NOW + BOUNDS.drain)
+        ticket = Ticket(
+            str(number), rank_cycle[number % len(rank_cycle)], NOW + BOUNDS.drain
+        )
         if isinstance(admission.offer(ticket, NOW), Admitted):
             running.append(ticket)
 
@@ -111,10 +113,10 @@
 
 
 def main() -> None:
-    """Print a line for each number of workers."""
+    """Print one line for each number of workers."""
     print("workers  admission and release (us)  choice and finish (us)")
     for size in SIZES:
-        admission, choice = measure(admission_of(size)), measure(choice_of(size))
+        admission, choice = measure(make_admission(size)), measure(make_choice(size))
         print(f"{size:>7}  {admission:>26.1f}  {choice:>22.1f}")
 
 
--- a/packages/workbench/src/sycamorenotch_workbench/_fleet.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of control daemons on loopback, in one process and one loop."""
+"""Fleet of control daemons on loopback, in one process on one reactor."""
 
 from __future__ import annotations
 
@@ -28,35 +28,35 @@
 from sycamorenotch_workbench._example import LOOPBACK
 from sycamorenotch_workbench._example import free_ports
 
-POLL_S = 0.002
-KIND = "environments"
+POLL_INTERVAL_S = 0.002
+OBJECT_KIND = "environments"
 
 
 @final
 class CountingProtocol(ProtocolWrapper):
-    """Counts the bytes of every connection of a factory."""
+    """Adds the bytes of a connection to the count of its factory."""
 
     factory: CountingFactory
 
     def dataReceived(self, data: bytes) -> None:
-        """Count and pass on."""
+        """Count and forward received data."""
         self.factory.bytes += len(data)
         super().dataReceived(data)
 
     def write(self, data: bytes) -> None:
-        """Count and pass on."""
+        """Count and forward written data."""
         self.factory.bytes += len(data)
         super().write(data)
 
     def writeSequence(self, iovec: Any) -> None:
-        """Count and pass on."""
+        """Count and forward written buffers."""
         self.factory.bytes += sum(map(len, iovec))
         super().writeSequence(iovec)
 
 
 @final
 class CountingFactory(WrappingFactory):
-    """Builds counting connections."""
+    """Counts the bytes sent and received over all connections."""
 
     protocol = CountingProtocol
     bytes = 0
@@ -64,13 +64,14 @@
 
 @final
 class ControlFleet:
-    """Control daemons over one stand-in store.
+    """Control daemons that share one stand-in store.
 
+    :param reactor: reactor of the process.
     :param size: number of daemons.
-    :param regions: number of regions, of two data centres each.
-    :param over_http: whether the daemons reach the store over HTTP.
-    :param alone: whether each daemon knows no other, the baseline.
-    :param names: components of each daemon.
+    :param regions: number of regions, with two data centres each.
+    :param over_http: whether the daemons access the store over HTTP.
+    :param isolated: whether the daemons know no peers, as the baseline does.
+    :param names: names of the components of each daemon.
     """
 
     def __init__(
@@ -80,33 +81,35 @@
         *,
         regions: int = 3,
         over_http: bool = False,
-        alone: bool = False,
+        isolated: bool = False,
         names: Sequence[str] = CONTROL,
     ) -> None:
         self._names = names
         self._reactor = reactor
         self._over_http = over_http
-        self._alone = alone
+        self._isolated = isolated
         self.text = (EXAMPLES / "vatukoula.ini").read_text()
         self.table = ObjectTable()
         self.api = StoreApi(self.table, reactor)
         self.counter = CountingFactory(Site(self.api.app.resource()))
         self._port: IListeningPort | None = None
         self._url = ""
-        places = [(f"r{r}", f"r{r}-{c}") for r, c in product(range(regions), range(2))]
+        locations = [
+            (f"r{r}", f"r{r}-{c}") for r, c in product(range(regions), range(2))
+        ]
         self.slots = [
-            (f"entry-{index:03d}", places[index % len(places)], port)
+            (f"entry-{index:03d}", locations[index % len(locations)], port)
             for index, port in enumerate(free_ports(size))
         ]
         self.daemons: dict[str, ControlDaemon] = {}
 
     async def start(self) -> None:
-        """Start the store and every daemon, then wait for their streams."""
+        """Start the store and the daemons; wait until all have the configuration."""
         if self._over_http:
             endpoint = TCP4ServerEndpoint(self._reactor, 0, interface=LOOPBACK)
             self._port = await endpoint.listen(self.counter)
             self._url = f"http://{LOOPBACK}:{self._port.getHost().port}"
-        self.table.create(KIND, ENVIRONMENT, self.text.encode())
+        self.table.create(OBJECT_KIND, ENVIRONMENT, self.text.encode())
         for slot in self.slots:
             self.add(slot)
         self.list_all()
@@ -115,14 +118,17 @@
         await self.until(lambda: self.in_force(self.generation))
 
     def add(self, slot: tuple[str, tuple[str, str], int]) -> ControlDaemon:
-        """Build the daemon of a slot; a former one must have been stopped."""
-        name, place, port = slot
+        """Build the daemon of a member; a previous one must have been stopped.
+
+        :param member: name, location and peers' port.
+        """
+        name, location, port = slot
         adapter = HttpStore(self._url, self._reactor) if self._over_http else None
         daemon = control_daemon(
             self._reactor,
             self.table,
             name,
-            place,
+            location,
             port,
             adapter=adapter,
             names=self._names,
@@ -131,17 +137,17 @@
         return daemon
 
     def list_all(self, missing: Sequence[str] = ()) -> None:
-        """Set the platform's list to every daemon but the missing ones."""
+        """Publish the platform's list of instances, without the missing ones."""
         listed = tuple(
             d.listed for name, d in self.daemons.items() if name not in missing
         )
-        shown = () if self._alone else listed
+        published = () if self._isolated else listed
         for daemon in self.daemons.values():
-            daemon.store.listed = shown
+            daemon.store.listed = published
         fields = ("id", "region", "data_centre", "callers", "peers", "operators")
         self.api.instances = {
             entry.id: {**{f: getattr(entry, f) for f in fields}, "state": "live"}
-            for entry in shown
+            for entry in published
         }
 
     async def stop(self) -> None:
@@ -152,44 +158,47 @@
             await self._port.stopListening()
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        """Wait for a condition."""
+        """Wait until a condition holds."""
         while not condition():
-            await deferLater(self._reactor, POLL_S)
+            await deferLater(self._reactor, POLL_INTERVAL_S)
 
     @property
     def generation(self) -> int:
-        """The generation in the store."""
-        return self.table.get(KIND, ENVIRONMENT).ok.version
+        """Generation of the document in the store."""
+        return self.table.get(OBJECT_KIND, ENVIRONMENT).ok.version
 
     def write(self, number: int) -> int:
         """Store a changed document.
 
-        :return: the generation written.
+        :param number: number of the change, which determines the new cap.
+        :return: generation of the stored document.
         """
         text = self.text.replace("cap = 10%", f"cap = {number % 9 + 1}%")
         text += f"# change {number}\n"
-        current = self.table.get(KIND, ENVIRONMENT).ok
-        written = self.table.update(KIND, ENVIRONMENT, text.encode(), current.version)
+        current = self.table.get(OBJECT_KIND, ENVIRONMENT).ok
+        written = self.table.update(
+            OBJECT_KIND, ENVIRONMENT, text.encode(), current.version
+        )
         return int(written.ok.version)
 
     def in_force(self, generation: int) -> bool:
-        """Return whether every daemon serves at least a generation."""
+        """Return whether a generation or a later one is in force on every daemon."""
         return all(
             daemon.node.configuration.generation >= generation
             for daemon in self.daemons.values()
         )
 
     def traffic(self) -> Traffic:
-        """Return the traffic of all peer streams together."""
-        each = [daemon.node.require(Traffic) for daemon in self.daemons.values()]
+        """Return the total traffic of all peer streams."""
+        traffics = [daemon.node.require(Traffic) for daemon in self.daemons.values()]
         return Traffic(
-            sum(t.sent_bytes for t in each),
-            sum(t.received_bytes for t in each),
-            sum(t.sent_messages for t in each),
-            sum(t.received_messages for t in each),
-            sum(t.dropped_messages for t in each),
+            sum(t.sent_bytes for t in traffics),
+            sum(t.received_bytes for t in traffics),
+            sum(t.sent_messages for t in traffics),
+            sum(t.received_messages for t in traffics),
+            sum(t.dropped_messages for t in traffics),
         )
 
     def ids(self) -> frozenset[InstanceId]:
-        """Return the identifiers of the daemons."""
+        """Return the instance identifiers of the daemons."""
         return frozenset(map(InstanceId, self.daemons))
--- a/packages/workbench/src/sycamorenotch_workbench/_slopes_common.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_slopes_common.py
@@ -1,4 +1,4 @@
-"""Tools shared by the slope measurements."""
+"""Helpers shared by the scaling measurements."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 RESIDENT_FIELD = 1
-MILLION = 1_000_000
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 def resident_bytes() -> int:
-    """Return the resident memory of this process."""
+    """Return the resident memory of this process in bytes."""
     gc.collect()
     fields = Path("/proc/self/statm").read_text().split()
     return int(fields[RESIDENT_FIELD]) * PAGE_BYTES
 
 
 def microseconds(function: Callable[[], Any], times: int) -> float:
-    """Return the mean processor time of a function, in microseconds."""
+    """Return the mean CPU time of a function call in microseconds."""
     start = time.process_time()
     for _ in range(times):
         function()
-    return (time.process_time() - start) / times * MILLION
+    return (time.process_time() - start) / times * MICROSECONDS_PER_SECOND
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """Return the value below which a share of the values lies."""
+    """Return the quantile of the values at a share between 0 and 1."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
--- a/packages/workbench/src/sycamorenotch_workbench/_slopes_memory.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_slopes_memory.py
@@ -1,4 +1,4 @@
-"""Resident memory of the libraries and of control state."""
+"""Resident memory of the libraries; memory and CPU time of the membership table."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from sycamorenotch_workbench._slopes_common import microseconds
 from sycamorenotch_workbench._slopes_common import resident_bytes
 
-FLEETS = (140, 700, 1_400)
+FLEET_SIZES = (140, 700, 1_400)
 DATA_CENTRES = 27
 REGIONS = 11
 
 
 def fleet_entries(count: int) -> tuple[ListedInstance, ...]:
-    """Return the platform's list for a fleet of a size."""
+    """Return the platform's list of a fleet with a number of instances."""
     return tuple(
         ListedInstance(
             id=InstanceId(f"entry-{index:04d}"),
@@ -35,27 +35,29 @@
 
 
 def measure_memory() -> Iterator[str]:
-    """Yield resident memory with the libraries, then a line for each fleet."""
+    """Yield one line for the libraries and one for each fleet size."""
     yield f"resident with every library {resident_bytes() / 2**20:.1f} MiB"
-    for count in FLEETS:
-        yield _membership(count)
+    for count in FLEET_SIZES:
+        yield _measure_membership(count)
 
 
-def _membership(count: int) -> str:
+def _measure_membership(count: int) -> str:
     tracemalloc.start()
     entries = fleet_entries(count)
     members = Membership(InstanceId("entry-0000"), 1)
     members.update_list(entries, timedelta())
-    held, _ = tracemalloc.get_traced_memory()
+    allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     members.tick(timedelta())
-    heard = PeerState(InstanceId("entry-0001"), "region-1", "centre-1", 2, False, 3, "")
+    peer_state = PeerState(
+        InstanceId("entry-0001"), "region-1", "centre-1", 2, False, 3, ""
+    )
     now = timedelta(seconds=1)
-    heard_us = microseconds(lambda: members.apply_peer_state(heard, now), 2000)
+    apply_us = microseconds(lambda: members.apply_peer_state(peer_state, now), 2000)
     tick_us = microseconds(lambda: members.tick(now), 20)
     digest_us = microseconds(members.rumours, 2000)
     return (
-        f"members {count:>5}  allocated {held / 2**20:5.2f} MiB"
-        f" ({held / count:6.0f} B each)  heard {heard_us:5.1f} us"
+        f"members {count:>5}  allocated {allocated / 2**20:5.2f} MiB"
+        f" ({allocated / count:6.0f} B each)  apply {apply_us:5.1f} us"
         f"  digest {digest_us:5.1f} us  tick {tick_us:7.1f} us"
     )
--- a/packages/workbench/src/sycamorenotch_workbench/_slopes_messages.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_slopes_messages.py
@@ -1,4 +1,4 @@
-"""Bytes and processor time of messages and of a change."""
+"""Size and CPU time of peer messages and configuration changes."""
 
 from __future__ import annotations
 
@@ -21,39 +21,39 @@
 
 INCARNATION = 1_800_000_000_000
 EXTRA_BLOCKS = (0, 500, 2_000)
-ANCHOR = "client_blocks = 127.0.0.0/8,"
+BLOCKS_ANCHOR = "client_blocks = 127.0.0.0/8,"
 
 
 def measure_messages() -> Iterator[str]:
-    """Yield lines for heartbeats, lists and configurations."""
-    yield from map(_heartbeat, (0, 2, 6))
+    """Yield lines of output for heartbeats, instance lists and configurations."""
+    yield from map(_measure_heartbeat, (0, 2, 6))
     for count in (140, 700, 1_400):
         entries = fleet_entries(count)
         whole = len(encode_message(ListingPush(b"", b"x" * 8, entries)))
         change = len(encode_message(ListingPush(b"x" * 8, b"x" * 8, entries[:1])))
         yield f"list of {count:>5}  whole {whole} B  one change {change} B"
-    yield from map(_change, EXTRA_BLOCKS)
+    yield from map(_measure_change, EXTRA_BLOCKS)
 
 
-def _heartbeat(rumours: int) -> str:
-    news = tuple(
+def _measure_heartbeat(rumours: int) -> str:
+    rumour_list = tuple(
         Rumour(InstanceId(f"entry-{i:04d}"), INCARNATION, MemberState.LIVE, 123_456)
         for i in range(rumours)
     )
-    message = Heartbeat(True, INCARNATION, False, 123_456, b"x" * 8, news)
+    message = Heartbeat(True, INCARNATION, False, 123_456, b"x" * 8, rumour_list)
     frame = encode_message(message)
-    out_us = microseconds(lambda: encode_message(message), 2000)
-    in_us = microseconds(lambda: decode_message(frame), 2000)
+    encode_us = microseconds(lambda: encode_message(message), 2000)
+    decode_us = microseconds(lambda: decode_message(frame), 2000)
     return (
         f"heartbeat with {rumours} rumours  {len(frame) + 4} B"
-        f"  encode {out_us:5.1f} us  decode {in_us:5.1f} us"
+        f"  encode {encode_us:5.1f} us  decode {decode_us:5.1f} us"
     )
 
 
-def _change(extra_blocks: int) -> str:
+def _measure_change(extra_blocks: int) -> str:
     text = (EXAMPLES / "vatukoula.ini").read_text()
     blocks = "".join(f" 11.{i // 256}.{i % 256}.0/24," for i in range(extra_blocks))
-    text = text.replace(ANCHOR, ANCHOR + blocks)
+    text = text.replace(BLOCKS_ANCHOR, BLOCKS_ANCHOR + blocks)
     old = ConfigurationText.of(1, text.encode())
     new = ConfigurationText.of(2, text.replace("cap = 10%", "cap = 12%").encode())
     history = ConfigurationHistory()
--- a/packages/workbench/src/sycamorenotch_workbench/claim_costs.py
+++ b/packages/workbench/src/sycamorenotch_workbench/claim_costs.py
@@ -1,4 +1,7 @@
-"""Counts the store calls that claims cost: ``python -m`` this module."""
+"""Counts the store calls per protected request.
+
+Run with ``python -m sycamorenotch_workbench.claim_costs``.
+"""
 
 from __future__ import annotations
 
@@ -66,23 +69,24 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ClaimCost:
-    """Store calls for each request of one course of events.
+    """Store calls per round of one scenario.
 
-    :param calls: calls for each request, by kind.
+    :param scenario: name of the scenario.
+    :param calls: mean number of calls per round, by kind.
     """
 
-    course: str
+    scenario: str
     calls: dict[str, float]
 
     @property
     def writes(self) -> float:
-        """Writes for each request."""
+        """Mean number of writes per round."""
         return sum(self.calls.get(kind, 0.0) for kind in WRITE_CALLS)
 
 
 @final
 class Measurement:
-    """Two instances over one table under a virtual clock."""
+    """Two instances that share one store under a virtual clock."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -90,13 +94,17 @@
         self._text = EXAMPLE.read_text()
         self._environment = parse_environment(self._text)
         self.memory: list[MemoryStore] = []
-        self.nodes = [self._node(name) for name in ("first", "second")]
-        self._stages = [self._stage(node) for node in self.nodes]
-        self.upstream_time = 0.02
+        self.nodes = [self._build_node(name) for name in ("first", "second")]
+        self._stages = [self._build_stage(node) for node in self.nodes]
+        self.upstream_time_s = 0.02
         self.shed = False
 
     def send(self, instance: int, key: str) -> None:
-        """Send one protected request."""
+        """Send a protected request.
+
+        :param instance: index of the instance.
+        :param key: idempotency key.
+        """
         node = self.nodes[instance]
         route = next(r for r in self._environment.routes if not r.idempotent)
         call = Call(
@@ -114,23 +122,23 @@
         Deferred.fromCoroutine(self._stages[instance].run(call, self._proceed))
 
     def finish(self) -> None:
-        """Let all requests end."""
+        """Advance the clock until all requests have ended."""
         self.clock.pump([STEP_S] * round(3 / STEP_S))
 
-    def made(self) -> Counter[str]:
-        """Return the calls of both instances by kind."""
+    def calls_made(self) -> Counter[str]:
+        """Return the number of store calls of both instances by kind."""
         stores: list[Any] = [node.store for node in self.nodes]
         return sum((store.calls.made for store in stores), Counter())
 
     async def _proceed(self, call: Call) -> CallResult:
         done: Deferred[None] = Deferred()
-        self.clock.callLater(self.upstream_time, done.callback, None)
+        self.clock.callLater(self.upstream_time_s, done.callback, None)
         await done
         if self.shed:
             return Error(Failure(ErrorKind.UPSTREAM_SHED, "shed"))
         return Ok(CallAnswer(200, (), b"done"))
 
-    def _node(self, name: str) -> Node:
+    def _build_node(self, name: str) -> Node:
         sink = EventList()
         clock = ReactorClock(self.clock)
         random = Random(SEED)
@@ -150,7 +158,7 @@
             token="",
         )
 
-    def _stage(self, node: Node) -> ClaimStage:
+    def _build_stage(self, node: Node) -> ClaimStage:
         ClaimSettler(node)
         node.configuration.put(InForce(self._environment, 1, "", self._text))
         return ClaimStage(node)
@@ -162,29 +170,29 @@
 
 
 def repeats(run: Measurement, number: int) -> None:
-    """Send a request whose answer is recorded."""
+    """Repeat a request whose answer is stored."""
     run.send(1, "key")
 
 
 def requests_at_once(run: Measurement, number: int) -> None:
-    """Send the same request through two instances at once."""
+    """Send the same request through two instances concurrently."""
     run.send(0, f"key-{number}")
     run.send(1, f"key-{number}")
 
 
 def shed_requests(run: Measurement, number: int) -> None:
-    """Send a request that the upstream states not to have run."""
+    """Send a request that the upstream sheds without running it."""
     run.shed = True
     run.send(0, f"key-{number}")
 
 
 def lost_creates(run: Measurement, number: int) -> None:
-    """Send a request whose create takes effect and whose answer is lost."""
+    """Send a request whose create call succeeds but loses its response."""
     run.memory[0].fault.set("lose_answers", 0, 1)
     run.send(0, f"key-{number}")
 
 
-COURSES: tuple[Callable[[Measurement, int], None], ...] = (
+SCENARIOS: tuple[Callable[[Measurement, int], None], ...] = (
     first_requests,
     repeats,
     requests_at_once,
@@ -193,30 +201,30 @@
 )
 
 
-def measure(course: Callable[[Measurement, int], None]) -> ClaimCost:
-    """Count the store calls of one course of events."""
+def measure(scenario: Callable[[Measurement, int], None]) -> ClaimCost:
+    """Count the store calls of one scenario."""
     run = Measurement()
-    if course is repeats:
+    if scenario is repeats:
         run.send(0, "key")
         run.finish()
-    before = run.made()
+    before = run.calls_made()
     for number in range(ROUNDS):
-        course(run, number)
+        scenario(run, number)
         run.finish()
-    made = run.made() - before
-    per_round = {kind: count / ROUNDS for kind, count in sorted(made.items())}
-    return ClaimCost(course.__name__.replace("_", " "), per_round)
+    calls_made = run.calls_made() - before
+    per_round = {kind: count / ROUNDS for kind, count in sorted(calls_made.items())}
+    return ClaimCost(scenario.__name__.replace("_", " "), per_round)
 
 
 def main() -> None:
-    """Print a table of the costs and of the rates that they allow."""
+    """Print the costs and the round rates that the store's write limit allows."""
     load_plugins()
     print(f"store calls for each round, {ROUNDS} rounds, seed {SEED}")
-    for cost in map(measure, COURSES):
+    for cost in map(measure, SCENARIOS):
         calls = ", ".join(f"{kind} {count:.2f}" for kind, count in cost.calls.items())
         rate = WRITES_PER_SECOND / cost.writes
         print(
-            f"{cost.course:18} {calls:40} {rate:6.0f} rounds/s in {WRITES_PER_SECOND}"
+            f"{cost.scenario:18} {calls:40} {rate:6.0f} rounds/s in {WRITES_PER_SECOND}"
         )
 
 
--- a/packages/workbench/src/sycamorenotch_workbench/slopes.py
+++ b/packages/workbench/src/sycamorenotch_workbench/slopes.py
@@ -1,4 +1,4 @@
-"""Measures the slopes from which docs/CAPACITY.md is worked out."""
+"""Measures the cost per unit of scale for docs/CAPACITY.md: ``make slopes``."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 def measurements() -> Iterator[str]:
-    """Yield the lines of the measurements that need no reactor."""
+    """Yield the output of the measurements that need no reactor."""
     yield from measure_memory()
     yield from measure_blocks()
     yield from measure_messages()
 
 
 def main() -> None:
-    """Measure everything and print it; the exit status is 0."""
+    """Run all measurements and print them; the exit status is 0."""
     load_plugins()
     install_literal_resolver(reactor)
     for line in measurements():
--- a/testing/workbench/test_bench.py
+++ b/testing/workbench/test_bench.py
@@ -1,4 +1,4 @@
-"""Tests of the fake that the measurements run on."""
+"""Tests of the simulation that the benchmarks run on."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from sycamorenotch_documents import parse_environment
 from sycamorenotch_kernel import Rank
-from sycamorenotch_workbench._bench_results import End
+from sycamorenotch_workbench._bench_results import RequestResult
 from sycamorenotch_workbench._bench_results import Results
 from sycamorenotch_workbench._bench_run import Run
 from sycamorenotch_workbench._bench_scenarios import SCENARIOS
-from sycamorenotch_workbench._bench_scenarios import scaled
+from sycamorenotch_workbench._bench_scenarios import scale_environment
 from sycamorenotch_workbench._bench_systems import SYSTEMS
 
 EXAMPLE = Path(__file__).parents[2] / "examples" / "vatukoula.ini"
-ENVIRONMENT = scaled(parse_environment(EXAMPLE.read_text()))
+ENVIRONMENT = scale_environment(parse_environment(EXAMPLE.read_text()))
 SHORT = replace(SCENARIOS[0], duration_s=8.0)
 
 
@@ -26,22 +26,22 @@
 
 
 @pytest.mark.parametrize("system", range(len(SYSTEMS)))
-def test_urgent_work_is_answered_when_calm(system: int) -> None:
+def test_urgent_requests_are_answered_when_load_is_calm(system: int) -> None:
     results = run(system, 1)
     assert results.in_time(Rank.URGENT) > 100
     assert results.violations == 0
 
 
-def test_run_is_repeated_exactly_when_seed_is_the_same() -> None:
-    assert run(0, 3).ends == run(0, 3).ends
-    assert run(0, 3).ends != run(0, 4).ends
+def test_results_are_equal_when_seed_is_equal() -> None:
+    assert run(0, 3).result_counts == run(0, 3).result_counts
+    assert run(0, 3).result_counts != run(0, 4).result_counts
 
 
-def test_percentile_and_misses_come_from_what_was_counted() -> None:
+def test_percentile_and_miss_share_are_computed_from_recorded_results() -> None:
     results = Results(ENVIRONMENT, 10.0)
     for latency_s in (0.1, 0.2, 0.3):
-        results.count("issuing", Rank.URGENT, End.IN_TIME, latency_s)
-    results.count("issuing", Rank.URGENT, End.REFUSED, 0.0)
-    assert results.misses(Rank.URGENT) == 0.25
+        results.count("issuing", Rank.URGENT, RequestResult.IN_TIME, latency_s)
+    results.count("issuing", Rank.URGENT, RequestResult.REFUSED, 0.0)
+    assert results.miss_share(Rank.URGENT) == 0.25
     assert results.percentile_ms(Rank.URGENT, 50) == pytest.approx(200, rel=0.01)
     assert results.goodput() == pytest.approx(3 * 100 / 10)
--- a/testing/workbench/test_broken_mechanisms.py
+++ b/testing/workbench/test_broken_mechanisms.py
@@ -1,4 +1,4 @@
-"""Tests that an assertion fires when the mechanism under it is broken."""
+"""Tests that an invariant is violated when its mechanism is broken."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
     def choose_urgent(self: RankedAdmission, waiting: list[Rank]) -> Rank:
         chosen = choose(self, waiting)
         if chosen is not Rank.URGENT and Rank.URGENT in waiting:
-            # The rank that was due keeps its credit and waits on.
+            # The rank whose turn it was keeps its credit and stays queued.
             self._credits[chosen] += 1
             return Rank.URGENT
         return chosen
--- a/testing/workbench/test_example.py
+++ b/testing/workbench/test_example.py
@@ -75,7 +75,7 @@
     run_in_reactor(scenario())
 
 
-def test_answer_has_each_header_once_when_upstream_sets_what_the_server_sets(
+def test_response_has_each_header_once_when_upstream_and_server_set_it(
     example: LocalExample, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
--- a/testing/workbench/test_golden.py
+++ b/testing/workbench/test_golden.py
@@ -1,4 +1,4 @@
-"""Tests that compare whole sessions with their golden records."""
+"""Tests that compare scripted sessions with their golden records."""
 
 from __future__ import annotations
 
--- a/testing/workbench/test_redemption.py
+++ b/testing/workbench/test_redemption.py
@@ -1,4 +1,4 @@
-"""End-to-end tests of protected actions over loopback sockets."""
+"""End-to-end tests of protected requests over loopback sockets."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return counted
 
 
-def test_two_identical_redemptions_run_once_when_sent_at_once(
+def test_redemption_runs_once_when_sent_twice_concurrently(
     example: LocalExample, run_in_reactor: Callable[..., Any]
 ) -> None:
     async def scenario() -> None:
--- a/testing/workbench/test_run.py
+++ b/testing/workbench/test_run.py
@@ -1,4 +1,4 @@
-"""Tests of the local example as ``make run`` serves it."""
+"""Tests of the local example that ``make run`` serves."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 
 def _accept_interrupts() -> None:
-    # A shell without job control starts background commands with SIGINT ignored,
-    # which the example would inherit from the test run.
+    # A shell without job control starts background commands with SIGINT ignored;
+    # the child process would inherit this from the test run.
     signal.signal(signal.SIGINT, signal.SIG_DFL)
 
 
--- a/testing/workbench/test_soak.py
+++ b/testing/workbench/test_soak.py
@@ -1,4 +1,4 @@
-"""Tests of randomised runs over whole systems."""
+"""Tests of the soak machine: invariants hold, and broken mechanisms are detected."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 
 
 @pytest.mark.parametrize("number", [1, 2])
-def test_invariants_hold_when_faults_strike_at_any_moment(number: int) -> None:
+def test_invariants_hold_when_faults_are_injected_at_random(number: int) -> None:
     run_machine(number, steps=40, examples=3)
 
 
-def test_machine_fails_when_claims_are_not_made(
+def test_machine_fails_when_claims_are_skipped(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def run(self: ClaimStage, call: Call, proceed: Proceed) -> CallResult:
@@ -46,7 +46,7 @@
         run_machine(1, steps=40, examples=10)
 
 
-def test_machine_fails_when_upstreams_deny_what_they_ran(
+def test_machine_fails_when_workers_shed_requests_that_ran(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     shed = UpstreamWorker._shed
