--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Every target works on a fresh machine with Python 3.11, make and git.
+# All targets work on a fresh machine with Python 3.11, make and git.
 
 PYTHON ?= $(shell command -v python3.11 || command -v python3)
 VENV := .venv
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Installs the gateway and its pinned libraries under target/deps. Libraries are
-# installed only when the pins change; the packages' sources are copied each time.
+# Installs the gateway and its pinned dependencies under target/deps. Dependencies
+# are reinstalled only when the pins change; package sources are copied on every run.
 set -eu
 DEPS=$PWD/target/deps
 STAMP=target/deps.stamp
@@ -11,7 +11,7 @@
     rm -rf "$DEPS" target/src "$STAMP"
     mkdir -p "$DEPS" target/src
     python3 -m pip install -q --target "$DEPS" -c constraints.txt -r deploy/requirements.txt setuptools
-    # The packages are built from a copy, as a build writes beside its sources.
+    # Build from a copy, because a build writes into its source tree.
     for p in $PACKAGES; do
         cp -r "$p" "target/src/$(basename "$p")"
         PYTHONPATH="$DEPS" python3 -m pip install -q --no-deps --no-build-isolation \
@@ -23,6 +23,6 @@
     cp -r "$p"/src/* "$DEPS"/
 done
 rm -rf "$DEPS"/*.egg-info
-# Processes cannot write beside their modules, so that without this each start
-# would compile them again. The copies above make no other bytecode of theirs valid.
+# The processes cannot write next to their modules, so without this step every start
+# would recompile them. The copies above invalidate bytecode compiled earlier.
 python3 -m compileall -q -f --invalidation-mode unchecked-hash "$DEPS"/sycamorenotch_*
