--- a/packages/workbench/src/sycamorenotch_workbench/_fleet.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_fleet.py
@@ -115,7 +115,7 @@
         self.list_all()
         for daemon in self.daemons.values():
             await daemon.start()
-        await self.until(lambda: self.in_force(self.generation))
+        await self.wait_until(lambda: self.in_force(self.generation))
 
     def add(self, slot: tuple[str, tuple[str, str], int]) -> ControlDaemon:
         """Build the daemon of a member; a previous one must have been stopped.
@@ -157,7 +157,7 @@
         if self._port is not None:
             await self._port.stopListening()
 
-    async def until(self, condition: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         """Wait until a condition holds."""
         while not condition():
             await deferLater(self._reactor, POLL_INTERVAL_S)
--- a/testing/daemon/test_control_fleet.py
+++ b/testing/daemon/test_control_fleet.py
@@ -60,15 +60,15 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(fleet: ControlFleet) -> None:
-        await fleet.until(lambda: linked(fleet))
+        await fleet.wait_until(lambda: linked(fleet))
         watching = [d for d in fleet.daemons.values() if is_watcher(d)]
         assert len(watching) == 12
         for number in range(5):
-            await fleet.until(partial(fleet.in_force, fleet.write(number)))
+            await fleet.wait_until(partial(fleet.in_force, fleet.write(number)))
         others = [d for d in fleet.daemons.values() if not is_watcher(d)]
         before = [sum(d.node.require(StoreCalls).made.values()) for d in others]
         generation = fleet.write(9)
-        await fleet.until(lambda: fleet.in_force(generation))
+        await fleet.wait_until(lambda: fleet.in_force(generation))
         after = [sum(d.node.require(StoreCalls).made.values()) for d in others]
         assert before == after
 
@@ -84,7 +84,7 @@
         for node in others:
             node.require(FleetMembership).keep("plan", holder)
         meshes = [node.require(PeerMesh) for node in others]
-        await fleet.until(lambda: all(mesh.has(holder) for mesh in meshes))
+        await fleet.wait_until(lambda: all(mesh.has(holder) for mesh in meshes))
 
     run_fleet(run_in_reactor, 18, scenario)
 
@@ -93,12 +93,12 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(fleet: ControlFleet) -> None:
-        await fleet.until(lambda: linked(fleet))
+        await fleet.wait_until(lambda: linked(fleet))
         for daemon in fleet.daemons.values():
             (watch,) = (c for c in daemon.components if type(c) is ConfigurationWatch)
             watch._push_to_members = lambda _: None  # type: ignore[method-assign]
         generation = fleet.write(1)
-        await fleet.until(lambda: fleet.in_force(generation))
+        await fleet.wait_until(lambda: fleet.in_force(generation))
 
     run_fleet(run_in_reactor, 18, scenario)
 
@@ -107,7 +107,7 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(fleet: ControlFleet) -> None:
-        await fleet.until(lambda: linked(fleet))
+        await fleet.wait_until(lambda: linked(fleet))
         victims = [name for name, d in fleet.daemons.items() if is_watcher(d)][:2]
         for name in victims:
             dead = fleet.daemons.pop(name)
@@ -115,7 +115,7 @@
             dead.node.require(FleetMembership)._heartbeat = lambda **_: HEARTBEAT  # type: ignore[method-assign]
             await dead.stop()
         generation = fleet.write(1)
-        await fleet.until(lambda: fleet.in_force(generation))
+        await fleet.wait_until(lambda: fleet.in_force(generation))
         watcher = next(iter(fleet.daemons.values()))
         view = watcher.node.require(FleetView)  # type: ignore[type-abstract]
 
@@ -125,7 +125,7 @@
             missing = {m.instance for m in view.missing(generation)}
             return found == set(victims) and missing <= found
 
-        await fleet.until(found_dead)
+        await fleet.wait_until(found_dead)
         assert len(view.in_force(generation)) == len(fleet.daemons)
         shown = watcher.node.require(InstanceView)  # type: ignore[type-abstract]
         assert {i.id for i in shown.instances()} == fleet.ids()
@@ -138,7 +138,7 @@
 ) -> None:
     async def scenario(fleet: ControlFleet) -> None:
         generation = fleet.write(1)
-        await fleet.until(lambda: linked(fleet) and fleet.in_force(generation))
+        await fleet.wait_until(lambda: linked(fleet) and fleet.in_force(generation))
         slot = fleet.slots[3]
         await fleet.daemons[slot[0]].stop()
         for daemon in fleet.daemons.values():
@@ -148,13 +148,13 @@
         await replaced.start()
         readiness = replaced.node.require(Readiness)  # type: ignore[type-abstract]
         assert not readiness.is_ready()
-        await fleet.until(readiness.is_ready)
+        await fleet.wait_until(readiness.is_ready)
         assert replaced.node.configuration.generation == generation
         for daemon in fleet.daemons.values():
             daemon.store.listed = tuple(d.listed for d in fleet.daemons.values())
             daemon.store.fault.set("none", 0, None)
         later = fleet.write(2)
-        await fleet.until(lambda: fleet.in_force(later))
+        await fleet.wait_until(lambda: fleet.in_force(later))
 
     run_fleet(run_in_reactor, 9, scenario)
 
@@ -165,7 +165,7 @@
     async def scenario(fleet: ControlFleet) -> None:
         before = fleet.table.get("environments", "production").ok
         generation = fleet.write(1)
-        await fleet.until(lambda: fleet.in_force(generation))
+        await fleet.wait_until(lambda: fleet.in_force(generation))
         for daemon in fleet.daemons.values():
             (watch,) = (c for c in daemon.components if type(c) is ConfigurationWatch)
             watch._take_stored(before)
@@ -179,7 +179,7 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(fleet: ControlFleet) -> None:
-        await fleet.until(lambda: linked(fleet))
+        await fleet.wait_until(lambda: linked(fleet))
         name = fleet.slots[0][0]
         leaver = fleet.daemons.pop(name)
         leaver.node.stopping = True
@@ -196,7 +196,7 @@
                 if m.instance == name
             )
 
-        await fleet.until(all_know)
+        await fleet.wait_until(all_know)
         await leaver.stop()
 
     run_fleet(run_in_reactor, 8, scenario)
--- a/testing/daemon/test_strike_exchange.py
+++ b/testing/daemon/test_strike_exchange.py
@@ -32,7 +32,7 @@
                 quarantines.append((daemon.node.clock, quarantine))
             for clock, quarantine in quarantines[:3]:
                 quarantine.record_strike(poison, "worker", clock.monotonic())
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: all(
                     (q.remaining(poison, clock.monotonic()) or timedelta())
                     for clock, q in quarantines
