--- a/packages/workbench/src/sycamorenotch_workbench/_fleet.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_fleet.py
@@ -115,7 +115,7 @@
         self.list_all()
         for daemon in self.daemons.values():
             await daemon.start()
-        await self.wait_until(lambda: self.in_force(self.generation))
+        await self.wait_until(lambda: self.is_in_force(self.generation))
 
     def add(self, slot: tuple[str, tuple[str, str], int]) -> ControlDaemon:
         """Build the daemon of a member; a previous one must have been stopped.
@@ -181,7 +181,7 @@
         )
         return int(written.ok.version)
 
-    def in_force(self, generation: int) -> bool:
+    def is_in_force(self, generation: int) -> bool:
         """Return whether a generation or a later one is in force on every daemon."""
         return all(
             daemon.node.configuration.generation >= generation
--- a/packages/workbench/src/sycamorenotch_workbench/_slopes_fleet.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_slopes_fleet.py
@@ -81,7 +81,7 @@
 async def _measure_change(reactor: Any, fleet: ControlFleet, number: int) -> float:
     await deferLater(reactor, CHANGE_INTERVAL_S)
     start = time.monotonic()
-    await fleet.wait_until(partial(fleet.in_force, fleet.write(number)))
+    await fleet.wait_until(partial(fleet.is_in_force, fleet.write(number)))
     return time.monotonic() - start
 
 
--- a/testing/daemon/test_control_fleet.py
+++ b/testing/daemon/test_control_fleet.py
@@ -64,11 +64,11 @@
         watching = [d for d in fleet.daemons.values() if is_watcher(d)]
         assert len(watching) == 12
         for number in range(5):
-            await fleet.wait_until(partial(fleet.in_force, fleet.write(number)))
+            await fleet.wait_until(partial(fleet.is_in_force, fleet.write(number)))
         others = [d for d in fleet.daemons.values() if not is_watcher(d)]
         before = [sum(d.node.require(StoreCalls).made.values()) for d in others]
         generation = fleet.write(9)
-        await fleet.wait_until(lambda: fleet.in_force(generation))
+        await fleet.wait_until(lambda: fleet.is_in_force(generation))
         after = [sum(d.node.require(StoreCalls).made.values()) for d in others]
         assert before == after
 
@@ -98,7 +98,7 @@
             (watch,) = (c for c in daemon.components if type(c) is ConfigurationWatch)
             watch._push_to_members = lambda _: None  # type: ignore[method-assign]
         generation = fleet.write(1)
-        await fleet.wait_until(lambda: fleet.in_force(generation))
+        await fleet.wait_until(lambda: fleet.is_in_force(generation))
 
     run_fleet(run_in_reactor, 18, scenario)
 
@@ -115,7 +115,7 @@
             dead.node.require(FleetMembership)._heartbeat = lambda **_: HEARTBEAT  # type: ignore[method-assign]
             await dead.stop()
         generation = fleet.write(1)
-        await fleet.wait_until(lambda: fleet.in_force(generation))
+        await fleet.wait_until(lambda: fleet.is_in_force(generation))
         watcher = next(iter(fleet.daemons.values()))
         view = watcher.node.require(FleetView)  # type: ignore[type-abstract]
 
@@ -138,7 +138,7 @@
 ) -> None:
     async def scenario(fleet: ControlFleet) -> None:
         generation = fleet.write(1)
-        await fleet.wait_until(lambda: linked(fleet) and fleet.in_force(generation))
+        await fleet.wait_until(lambda: linked(fleet) and fleet.is_in_force(generation))
         slot = fleet.slots[3]
         await fleet.daemons[slot[0]].stop()
         for daemon in fleet.daemons.values():
@@ -154,7 +154,7 @@
             daemon.store.listed = tuple(d.listed for d in fleet.daemons.values())
             daemon.store.fault.set("none", 0, None)
         later = fleet.write(2)
-        await fleet.wait_until(lambda: fleet.in_force(later))
+        await fleet.wait_until(lambda: fleet.is_in_force(later))
 
     run_fleet(run_in_reactor, 9, scenario)
 
@@ -165,7 +165,7 @@
     async def scenario(fleet: ControlFleet) -> None:
         before = fleet.table.get("environments", "production").ok
         generation = fleet.write(1)
-        await fleet.wait_until(lambda: fleet.in_force(generation))
+        await fleet.wait_until(lambda: fleet.is_in_force(generation))
         for daemon in fleet.daemons.values():
             (watch,) = (c for c in daemon.components if type(c) is ConfigurationWatch)
             watch._take_stored(before)
