--- a/packages/workbench/src/sycamorenotch_workbench/_fleet.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_fleet.py
@@ -112,7 +112,7 @@
         self.table.create(OBJECT_KIND, ENVIRONMENT, self.text.encode())
         for slot in self.slots:
             self.add(slot)
-        self.list_all()
+        self.publish_instances()
         for daemon in self.daemons.values():
             await daemon.start()
         await self.wait_until(lambda: self.is_in_force(self.generation))
@@ -136,7 +136,7 @@
         self.daemons[name] = daemon
         return daemon
 
-    def list_all(self, missing: Sequence[str] = ()) -> None:
+    def publish_instances(self, missing: Sequence[str] = ()) -> None:
         """Publish the platform's list of instances, without the missing ones."""
         listed = tuple(
             d.listed for name, d in self.daemons.items() if name not in missing
