--- a/packages/workbench/src/sycamorenotch_workbench/_fleet.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_fleet.py
@@ -97,7 +97,7 @@
         locations = [
             (f"r{r}", f"r{r}-{c}") for r, c in product(range(regions), range(2))
         ]
-        self.slots = [
+        self.members = [
             (f"entry-{index:03d}", locations[index % len(locations)], port)
             for index, port in enumerate(free_ports(size))
         ]
@@ -110,19 +110,19 @@
             self._port = await endpoint.listen(self.counter)
             self._url = f"http://{LOOPBACK}:{self._port.getHost().port}"
         self.table.create(OBJECT_KIND, ENVIRONMENT, self.text.encode())
-        for slot in self.slots:
-            self.add(slot)
+        for member in self.members:
+            self.add(member)
         self.publish_instances()
         for daemon in self.daemons.values():
             await daemon.start()
         await self.wait_until(lambda: self.is_in_force(self.generation))
 
-    def add(self, slot: tuple[str, tuple[str, str], int]) -> ControlDaemon:
+    def add(self, member: tuple[str, tuple[str, str], int]) -> ControlDaemon:
         """Build the daemon of a member; a previous one must have been stopped.
 
         :param member: name, location and peers' port.
         """
-        name, location, port = slot
+        name, location, port = member
         adapter = HttpStore(self._url, self._reactor) if self._over_http else None
         daemon = control_daemon(
             self._reactor,
--- a/testing/daemon/test_control_fleet.py
+++ b/testing/daemon/test_control_fleet.py
@@ -79,7 +79,7 @@
     run_in_reactor: Callable[..., Any],
 ) -> None:
     async def scenario(fleet: ControlFleet) -> None:
-        holder = InstanceId(fleet.slots[0][0])
+        holder = InstanceId(fleet.members[0][0])
         others = [d.node for name, d in fleet.daemons.items() if name != holder]
         for node in others:
             node.require(FleetMembership).keep("plan", holder)
@@ -139,11 +139,11 @@
     async def scenario(fleet: ControlFleet) -> None:
         generation = fleet.write(1)
         await fleet.wait_until(lambda: linked(fleet) and fleet.is_in_force(generation))
-        slot = fleet.slots[3]
-        await fleet.daemons[slot[0]].stop()
+        member = fleet.members[3]
+        await fleet.daemons[member[0]].stop()
         for daemon in fleet.daemons.values():
             daemon.store.fault.set("down", 0, None)
-        replaced = fleet.add(slot)
+        replaced = fleet.add(member)
         replaced.store.fault.set("down", 0, None)
         await replaced.start()
         readiness = replaced.node.require(Readiness)  # type: ignore[type-abstract]
@@ -180,7 +180,7 @@
 ) -> None:
     async def scenario(fleet: ControlFleet) -> None:
         await fleet.wait_until(lambda: linked(fleet))
-        name = fleet.slots[0][0]
+        name = fleet.members[0][0]
         leaver = fleet.daemons.pop(name)
         leaver.node.stopping = True
         views = [
