--- a/packages/workbench/src/sycamorenotch_workbench/_control.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_control.py
@@ -76,7 +76,7 @@
         )
 
 
-def control_daemon(
+def build_control_daemon(
     reactor: Any,
     table: ObjectTable,
     name: str,
--- a/packages/workbench/src/sycamorenotch_workbench/_fleet.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_fleet.py
@@ -23,7 +23,7 @@
 from sycamorenotch_workbench._control import CONTROL
 from sycamorenotch_workbench._control import ENVIRONMENT
 from sycamorenotch_workbench._control import ControlDaemon
-from sycamorenotch_workbench._control import control_daemon
+from sycamorenotch_workbench._control import build_control_daemon
 from sycamorenotch_workbench._example import EXAMPLES
 from sycamorenotch_workbench._example import LOOPBACK
 from sycamorenotch_workbench._example import free_ports
@@ -124,7 +124,7 @@
         """
         name, location, port = member
         adapter = HttpStore(self._url, self._reactor) if self._over_http else None
-        daemon = control_daemon(
+        daemon = build_control_daemon(
             self._reactor,
             self.table,
             name,
--- a/testing/daemon/test_peer_streams.py
+++ b/testing/daemon/test_peer_streams.py
@@ -29,7 +29,7 @@
 from sycamorenotch_kernel import Rumour
 from sycamorenotch_standins import ObjectTable
 from sycamorenotch_workbench._control import ControlDaemon
-from sycamorenotch_workbench._control import control_daemon
+from sycamorenotch_workbench._control import build_control_daemon
 from sycamorenotch_workbench._example import free_ports
 
 HEARTBEAT = Heartbeat(
@@ -57,7 +57,7 @@
     keys: tuple[bytes, bytes] = (b"key", b"key"),
 ) -> None:
     first, second = (
-        control_daemon(
+        build_control_daemon(
             reactor, ObjectTable(), name, PLACE, port, key=key, names=["peers"]
         )
         for name, port, key in zip("ab", free_ports(2), keys, strict=True)
