--- a/packages/workbench/src/sycamorenotch_workbench/_control.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_control.py
@@ -25,7 +25,7 @@
 from sycamorenotch_standins import ObjectTable
 from sycamorenotch_standins._memory import MemoryStore
 
-CONTROL = ("drains", "peers", "membership", "configuration", "instances")
+CONTROL_COMPONENTS = ("drains", "peers", "membership", "configuration", "instances")
 ENVIRONMENT = "production"
 PEER_KEY = b"key of the workbench"
 STORE_CALLS_PER_SECOND = 20
@@ -84,7 +84,7 @@
     port: int,
     *,
     key: bytes = PEER_KEY,
-    names: Sequence[str] = CONTROL,
+    names: Sequence[str] = CONTROL_COMPONENTS,
     adapter: Any = None,
 ) -> ControlDaemon:
     """Build a daemon that runs only control components on loopback.
--- a/packages/workbench/src/sycamorenotch_workbench/_fleet.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_fleet.py
@@ -20,7 +20,7 @@
 from sycamorenotch_kernel import InstanceId
 from sycamorenotch_standins import ObjectTable
 from sycamorenotch_standins import StoreApi
-from sycamorenotch_workbench._control import CONTROL
+from sycamorenotch_workbench._control import CONTROL_COMPONENTS
 from sycamorenotch_workbench._control import ENVIRONMENT
 from sycamorenotch_workbench._control import ControlDaemon
 from sycamorenotch_workbench._control import build_control_daemon
@@ -82,7 +82,7 @@
         regions: int = 3,
         over_http: bool = False,
         isolated: bool = False,
-        names: Sequence[str] = CONTROL,
+        names: Sequence[str] = CONTROL_COMPONENTS,
     ) -> None:
         self._names = names
         self._reactor = reactor
--- a/testing/daemon/test_strike_exchange.py
+++ b/testing/daemon/test_strike_exchange.py
@@ -10,10 +10,10 @@
 
 from sycamorenotch_policies import Quarantine
 from sycamorenotch_policies import sign_request
-from sycamorenotch_workbench._control import CONTROL
+from sycamorenotch_workbench._control import CONTROL_COMPONENTS
 from sycamorenotch_workbench._fleet import ControlFleet
 
-NAMES = (*CONTROL, "strikes")
+NAMES = (*CONTROL_COMPONENTS, "strikes")
 
 
 def test_request_is_quarantined_everywhere_when_three_instances_were_struck(
