--- a/packages/workbench/src/sycamorenotch_workbench/_example.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_example.py
@@ -32,8 +32,8 @@
 ENVIRONMENT = "production"
 LOOPBACK = "127.0.0.1"
 LISTENING_PORTS = range(12_000, 32_000)
-TOKEN_MODE = 0o600
-ADDRESS = re.compile(r"10\.\d+\.\d+\.\d+:\d+")
+TOKEN_FILE_MODE = 0o600
+ADDRESS_PATTERN = re.compile(r"10\.\d+\.\d+\.\d+:\d+")
 
 SETTINGS = """\
 [instance]
@@ -80,7 +80,7 @@
         self._count = instances
         self.token_file = (state or Path(self._directory.name)) / "operator.token"
         self.token = secrets.token_urlsafe()
-        self.text = _with_free_ports((EXAMPLES / f"{document}.ini").read_text())
+        self.text = _assign_free_ports((EXAMPLES / f"{document}.ini").read_text())
         self.environment: Environment = parse_environment(self.text)
         self.table = ObjectTable()
         self.store_api = StoreApi(self.table, reactor)
@@ -90,12 +90,12 @@
 
     async def start(self) -> None:
         """Start the stand-ins, store the document and start the instances."""
-        self.token_file.touch(TOKEN_MODE)
+        self.token_file.touch(TOKEN_FILE_MODE)
         self.token_file.write_text(self.token)
         await self._start_store()
         await self._start_workers()
         self.table.create("environments", ENVIRONMENT, self.text.encode())
-        for region, data_centre in self._places():
+        for region, data_centre in self._list_locations():
             await self._start_daemon(region, data_centre)
 
     async def stop(self) -> None:
@@ -122,9 +122,9 @@
         }
 
     def _services(self) -> dict[str, dict[str, Any]]:
-        described: dict[str, dict[str, Any]] = {}
+        services_by_name: dict[str, dict[str, Any]] = {}
         for route in self.environment.routes:
-            described.setdefault(
+            services_by_name.setdefault(
                 route.service,
                 {
                     "rank": route.rank.label,
@@ -132,18 +132,18 @@
                     "idempotent": route.idempotent,
                 },
             )
-        return described
+        return services_by_name
 
-    def _places(self) -> list[tuple[str, str]]:
+    def _list_locations(self) -> list[tuple[str, str]]:
         regions = self.environment.regions.values()
-        depth = max(len(region.data_centres) for region in regions)
-        places = [
+        max_data_centres = max(len(region.data_centres) for region in regions)
+        locations = [
             (region.name, region.data_centres[index])
-            for index in range(depth)
+            for index in range(max_data_centres)
             for region in regions
             if index < len(region.data_centres)
         ]
-        return places[: self._count]
+        return locations[: self._count]
 
     async def _listen(self, resource: IResource) -> int:
         site = Site(resource)
@@ -218,6 +218,6 @@
     return True
 
 
-def _with_free_ports(text: str) -> str:
-    ports: Iterator[int] = iter(free_ports(len(ADDRESS.findall(text))))
-    return ADDRESS.sub(lambda _: f"{LOOPBACK}:{next(ports)}", text)
+def _assign_free_ports(text: str) -> str:
+    ports: Iterator[int] = iter(free_ports(len(ADDRESS_PATTERN.findall(text))))
+    return ADDRESS_PATTERN.sub(lambda _: f"{LOOPBACK}:{next(ports)}", text)
--- a/packages/workbench/src/sycamorenotch_workbench/_slopes_messages.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_slopes_messages.py
@@ -29,9 +29,9 @@
     yield from map(_measure_heartbeat, (0, 2, 6))
     for count in (140, 700, 1_400):
         entries = fleet_entries(count)
-        whole = len(encode_message(ListingPush(b"", b"x" * 8, entries)))
+        full = len(encode_message(ListingPush(b"", b"x" * 8, entries)))
         change = len(encode_message(ListingPush(b"x" * 8, b"x" * 8, entries[:1])))
-        yield f"list of {count:>5}  whole {whole} B  one change {change} B"
+        yield f"list of {count:>5}  full {full} B  one change {change} B"
     yield from map(_measure_change, EXTRA_BLOCKS)
 
 
@@ -60,15 +60,15 @@
     history.add(old)
     history.add(new)
     push = history.make_push(1)
-    whole = history.make_push(0)
-    assert push is not None and whole is not None
+    full = history.make_push(0)
+    assert push is not None and full is not None
     make_us = microseconds(lambda: history.make_push(1), 20)
     apply_us = microseconds(lambda: history.apply_push(push), 20)
     parse_us = microseconds(
         lambda: parse_environment(decode_document(new.text).text), 3
     )
     return (
-        f"document of {len(new.text):>6} B  whole push {len(encode_message(whole))} B"
+        f"document of {len(new.text):>6} B  full push {len(encode_message(full))} B"
         f"  difference {len(encode_message(push))} B  make {make_us:6.0f} us"
         f"  apply {apply_us:5.0f} us  parse {parse_us / 1000:7.1f} ms"
     )
--- a/packages/workbench/src/sycamorenotch_workbench/_virtual_transport.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_virtual_transport.py
@@ -171,18 +171,18 @@
         return self._local
 
     def getTcpNoDelay(self) -> bool:
-        """Return true."""
+        """Return True; the option is not simulated."""
         return True
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """Do nothing."""
+        """Ignore the option; it is not simulated."""
 
     def getTcpKeepAlive(self) -> bool:
-        """Return true."""
+        """Return True; the option is not simulated."""
         return True
 
     def setTcpKeepAlive(self, enabled: bool) -> None:
-        """Do nothing."""
+        """Ignore the option; it is not simulated."""
 
     def loseWriteConnection(self) -> None:
         """Close the connection."""
--- a/packages/workbench/src/sycamorenotch_workbench/catalogue.py
+++ b/packages/workbench/src/sycamorenotch_workbench/catalogue.py
@@ -38,17 +38,22 @@
 def events_page() -> str:
     """Return the page that lists all events."""
     rows = (
-        _row(item.number, f"`{item.name}`", item.severity.value, _meaning(item))
-        for item in sorted(_own_events(), key=lambda found: found.number)
+        _format_row(
+            event_class.number,
+            f"`{event_class.name}`",
+            event_class.severity.value,
+            _summary(event_class),
+        )
+        for event_class in sorted(_own_events(), key=lambda entry: entry.number)
     )
-    head = _table(("number", "name", "severity", "meaning"))
+    head = _format_table_head(("number", "name", "severity", "meaning"))
     return "\n".join([EVENTS_HEAD, *head, *rows, ""])
 
 
 def errors_page() -> str:
     """Return the page that lists all error kinds and their responses."""
     rows = (
-        _row(
+        _format_row(
             f"`{kind.value}`",
             answer.status,
             f"`{answer.ran.value}`",
@@ -57,7 +62,7 @@
         )
         for kind, answer in ANSWERS.items()
     )
-    head = _table(("kind", "status", "ran", "may succeed later", "meaning"))
+    head = _format_table_head(("kind", "status", "ran", "may succeed later", "meaning"))
     return "\n".join([ERRORS_HEAD, *head, *rows, ""])
 
 
@@ -67,12 +72,12 @@
     :param folder: name of the folder; the index page has the same name in upper case.
     """
     text = (DOCS / f"{folder.upper()}.md").read_text()
-    kept = text[: text.index(LINKS_TITLE)] + LINKS_TITLE
+    text_before_links = text[: text.index(LINKS_TITLE)] + LINKS_TITLE
     links = (
         f"- [{_title(path)}]({folder}/{path.name})"
         for path in sorted((DOCS / folder).glob("*.md"))
     )
-    return "\n".join([kept, "", *links, ""])
+    return "\n".join([text_before_links, "", *links, ""])
 
 
 def _title(path: Path) -> str:
@@ -83,16 +88,16 @@
     return (e.value for e in events if e.module.startswith(OWN_PREFIX))
 
 
-def _meaning(item: type[Event]) -> str:
-    return cleandoc(item.__doc__ or "").partition("\n\n")[0].replace("\n", " ")
+def _summary(event_class: type[Event]) -> str:
+    return cleandoc(event_class.__doc__ or "").partition("\n\n")[0].replace("\n", " ")
 
 
-def _row(*cells: object) -> str:
+def _format_row(*cells: object) -> str:
     return "| " + " | ".join(map(str, cells)) + " |"
 
 
-def _table(head: tuple[str, ...]) -> tuple[str, str]:
-    return _row(*head), _row(*("---" for _ in head))
+def _format_table_head(head: tuple[str, ...]) -> tuple[str, str]:
+    return _format_row(*head), _format_row(*("---" for _ in head))
 
 
 def main() -> None:
--- a/packages/workbench/src/sycamorenotch_workbench/claim_costs.py
+++ b/packages/workbench/src/sycamorenotch_workbench/claim_costs.py
@@ -164,32 +164,32 @@
         return ClaimStage(node)
 
 
-def first_requests(run: Measurement, number: int) -> None:
+def first_requests(measurement: Measurement, number: int) -> None:
     """Send a request with a new key."""
-    run.send(0, f"key-{number}")
+    measurement.send(0, f"key-{number}")
 
 
-def repeats(run: Measurement, number: int) -> None:
+def repeats(measurement: Measurement, number: int) -> None:
     """Repeat a request whose answer is stored."""
-    run.send(1, "key")
+    measurement.send(1, "key")
 
 
-def requests_at_once(run: Measurement, number: int) -> None:
+def requests_at_once(measurement: Measurement, number: int) -> None:
     """Send the same request through two instances concurrently."""
-    run.send(0, f"key-{number}")
-    run.send(1, f"key-{number}")
+    measurement.send(0, f"key-{number}")
+    measurement.send(1, f"key-{number}")
 
 
-def shed_requests(run: Measurement, number: int) -> None:
+def shed_requests(measurement: Measurement, number: int) -> None:
     """Send a request that the upstream sheds without running it."""
-    run.shed = True
-    run.send(0, f"key-{number}")
+    measurement.shed = True
+    measurement.send(0, f"key-{number}")
 
 
-def lost_creates(run: Measurement, number: int) -> None:
+def lost_creates(measurement: Measurement, number: int) -> None:
     """Send a request whose create call succeeds but loses its response."""
-    run.memory[0].fault.set("lose_answers", 0, 1)
-    run.send(0, f"key-{number}")
+    measurement.memory[0].fault.set("lose_answers", 0, 1)
+    measurement.send(0, f"key-{number}")
 
 
 SCENARIOS: tuple[Callable[[Measurement, int], None], ...] = (
@@ -203,15 +203,15 @@
 
 def measure(scenario: Callable[[Measurement, int], None]) -> ClaimCost:
     """Count the store calls of one scenario."""
-    run = Measurement()
+    measurement = Measurement()
     if scenario is repeats:
-        run.send(0, "key")
-        run.finish()
-    before = run.calls_made()
+        measurement.send(0, "key")
+        measurement.finish()
+    before = measurement.calls_made()
     for number in range(ROUNDS):
-        scenario(run, number)
-        run.finish()
-    calls_made = run.calls_made() - before
+        scenario(measurement, number)
+        measurement.finish()
+    calls_made = measurement.calls_made() - before
     per_round = {kind: count / ROUNDS for kind, count in sorted(calls_made.items())}
     return ClaimCost(scenario.__name__.replace("_", " "), per_round)
 
--- a/packages/workbench/src/sycamorenotch_workbench/demo.py
+++ b/packages/workbench/src/sycamorenotch_workbench/demo.py
@@ -50,7 +50,7 @@
 
         :raises UnexpectedAnswerError: if a step has an unexpected result.
         """
-        await self._command("plugins", shown=3)
+        await self._command("plugins", max_lines=3)
         await self._look_up()
         decision = await self._call()
         await self._command("explain", decision)
@@ -63,13 +63,13 @@
         await self._command("report", "burn")
 
     async def _look_up(self) -> None:
-        _title("a caller looks up the instances of a service")
+        _print_title("a caller looks up the instances of a service")
         url = f"{self._callers}/v1/lookup?service=balance&client={CLIENT}"
         print(f"$ curl '{url}'")
         print(json.dumps(await treq.json_content(await treq.get(url)), indent=2))
 
     async def _call(self) -> str:
-        _title("a caller sends a request through an instance")
+        _print_title("a caller sends a request through an instance")
         url = f"{self._callers}/v1/call/balance/balances/1"
         print(f"$ curl {url}")
         response = await treq.get(url)
@@ -78,7 +78,7 @@
         return str(response.headers.getRawHeaders("Decision-Id")[0])
 
     async def _redeem_twice(self) -> None:
-        _title("the same redemption is sent twice concurrently")
+        _print_title("the same redemption is sent twice concurrently")
         url = f"{self._callers}/v1/call/redemption/redemptions/1"
         print(f"$ curl -X POST -H 'Idempotency-Key: voucher-77' {url}   # twice")
         sent = [Deferred.fromCoroutine(_redeem(url)) for _ in range(2)]
@@ -89,7 +89,7 @@
         _require(runs == 1, "the redemption did not run exactly once")
 
     async def _promote(self) -> None:
-        _title(
+        _print_title(
             "an operator tests a smaller cap in the trial environment and promotes it"
         )
         changed = self._example.token_file.with_name("trial.ini")
@@ -98,26 +98,26 @@
         await self._command("apply", "trial", str(changed))
         await self._command("diff", "production", "trial")
         await self._command("promote", wait=True)
-        await self._command("show", "production", shown=12)
+        await self._command("show", "production", max_lines=12)
 
     async def _drain(self) -> None:
-        _title("an operator drains a data centre and undoes the drain")
+        _print_title("an operator drains a data centre and undoes the drain")
         await self._command("drain", "data-centre", "nadi", wait=True)
         _require(
-            not await self._used_workers("-nadi-"),
+            not await self._list_used_workers("-nadi-"),
             "a drained worker received new requests",
         )
         await self._command("drain", "data-centre", "nadi", wait=True, undo=True)
 
-    async def _used_workers(self, part: str) -> set[str]:
+    async def _list_used_workers(self, name_part: str) -> set[str]:
         url = f"{self._callers}/v1/call/balance/balances/1"
         responses = [await treq.get(url) for _ in range(8)]
         used = {(await treq.json_content(item))["worker"] for item in responses}
         print("workers used:", ", ".join(sorted(used)))
-        return {name for name in used if part in name}
+        return {name for name in used if name_part in name}
 
     async def _upstream_failure(self) -> None:
-        _title("the upstreams of a data centre truncate their responses")
+        _print_title("the upstreams of a data centre truncate their responses")
         workers = self._example.workers.values()
         failing = [w for w in workers if w.name.startswith("balance-nadi-")]
         before = sum(worker.served for worker in failing)
@@ -129,23 +129,23 @@
         ]
         for worker in failing:
             worker.fault.set("none", 0.0, None)
-        cut = sum(worker.served for worker in failing) - before
-        print(f"{cut} responses were truncated by {len(failing)} upstreams")
+        truncated = sum(worker.served for worker in failing) - before
+        print(f"{truncated} responses were truncated by {len(failing)} upstreams")
         print(f"{UPSTREAM_FAILURE_CALLS} calls were answered with {codes}")
 
     async def _command(
-        self, name: str, *args: str, shown: int | None = None, **options: Any
+        self, name: str, *args: str, max_lines: int | None = None, **options: Any
     ) -> None:
         flags = "".join(f" --{flag}" for flag in options)
         print(f"\n$ sycamorenotch {' '.join((name, *args))}{flags}")
         client = OperatorsClient(self._operators, self._example.token)
-        chosen = Options(author="ana", **options)
-        invocation = Invocation(args, chosen, self._reactor, lambda: client)
+        cli_options = Options(author="ana", **options)
+        invocation = Invocation(args, cli_options, self._reactor, lambda: client)
         outcome = await commands.get(name).run(invocation)
         lines = outcome.text.splitlines()
-        print("\n".join(lines[:shown]))
-        if shown is not None and len(lines) > shown:
-            print(f"... {len(lines) - shown} more lines")
+        print("\n".join(lines[:max_lines]))
+        if max_lines is not None and len(lines) > max_lines:
+            print(f"... {len(lines) - max_lines} more lines")
         _require(outcome.code is ExitCode.OK, f"{name} ended with {outcome.code.name}")
 
 
@@ -161,7 +161,7 @@
     return int(response.code)
 
 
-def _title(text: str) -> None:
+def _print_title(text: str) -> None:
     print(f"\n== {text}")
 
 
--- a/packages/workbench/src/sycamorenotch_workbench/run.py
+++ b/packages/workbench/src/sycamorenotch_workbench/run.py
@@ -14,17 +14,17 @@
 from sycamorenotch_workbench._example import LocalExample
 
 # The README names these paths for the operators' commands.
-STATE = Path("build/local")
-FLAGS = STATE / "flags"
-EXIT_START = 3
+STATE_DIRECTORY = Path("build/local")
+FLAG_FILE = STATE_DIRECTORY / "flags"
+EXIT_START_FAILED = 3
 
 
 def main() -> None:
     """Start the example and print its addresses as one line of JSON."""
-    STATE.mkdir(parents=True, exist_ok=True)
-    with (STATE / "events.log").open("w") as log:
+    STATE_DIRECTORY.mkdir(parents=True, exist_ok=True)
+    with (STATE_DIRECTORY / "events.log").open("w") as log:
         to_file(log)
-        sys.exit(_serve(LocalExample(reactor, state=STATE)))
+        sys.exit(_serve(LocalExample(reactor, state=STATE_DIRECTORY)))
 
 
 def _serve(example: LocalExample) -> int:
@@ -32,7 +32,7 @@
 
     async def start() -> None:
         await example.start()
-        FLAGS.write_text(
+        FLAG_FILE.write_text(
             f"--operators={example.describe()['operators'][0]}\n"
             f"--token_file={example.token_file}\n"
         )
@@ -41,13 +41,15 @@
     def stop() -> Deferred[None]:
         return Deferred.fromCoroutine(example.stop())
 
-    def failed(failure: Failure) -> None:
+    def on_start_failure(failure: Failure) -> None:
         nonlocal status
-        status = EXIT_START
+        status = EXIT_START_FAILED
         print(failure.getErrorMessage(), file=sys.stderr)
         reactor.stop()
 
-    reactor.callWhenRunning(lambda: Deferred.fromCoroutine(start()).addErrback(failed))
+    reactor.callWhenRunning(
+        lambda: Deferred.fromCoroutine(start()).addErrback(on_start_failure)
+    )
     # The reactor runs this trigger on SIGINT and SIGTERM.
     reactor.addSystemEventTrigger("before", "shutdown", stop)
     reactor.run()
