--- a/testing/daemon/test_strike_exchange.py
+++ b/testing/daemon/test_strike_exchange.py
@@ -10,10 +10,10 @@
 
 from sycamorenotch_policies import Quarantine
 from sycamorenotch_policies import sign_request
-from sycamorenotch_workbench._control import CONTROL
+from sycamorenotch_workbench._control import CONTROL_COMPONENTS
 from sycamorenotch_workbench._fleet import ControlFleet
 
-NAMES = (*CONTROL, "strikes")
+NAMES = (*CONTROL_COMPONENTS, "strikes")
 
 
 def test_request_is_quarantined_everywhere_when_three_instances_record_strikes(
@@ -32,7 +32,7 @@
                 quarantines.append((daemon.node.clock, quarantine))
             for clock, quarantine in quarantines[:3]:
                 quarantine.record_strike(poison, "worker", clock.monotonic())
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: all(
                     (q.remaining(poison, clock.monotonic()) or timedelta())
                     for clock, q in quarantines
