--- a/packages/daemon/src/sycamorenotch_daemon/_build.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_build.py
@@ -32,7 +32,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class ProcessDependencies:
-    """Dependencies of a daemon on its process; tests replace them.
+    """Dependencies of a daemon on the process that it runs in.
 
     :param strict: whether a violated invariant raises an exception.
     """
--- a/packages/daemon/src/sycamorenotch_daemon/_configuration.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_configuration.py
@@ -99,8 +99,9 @@
     def is_ready(self) -> bool:
         """Return whether the configuration in force may be served to callers.
 
-        It may once it was read from the store, or once enough peers have
-        reported their generations and none is newer.
+        :return: true once a document was read from the store, or once two peers,
+            or the only connected one, have reported their generations and none is
+            newer; it stays true from then on.
         """
         generation = self._node.configuration.generation
         return self._confirmation.try_confirm(generation, len(self._mesh.connected()))
--- a/packages/daemon/src/sycamorenotch_daemon/_demand.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_demand.py
@@ -20,6 +20,7 @@
 from sycamorenotch_policies import BlockTable
 
 WINDOW_PERIODS = 5
+# Demand is reported as a whole number of requests in this many seconds.
 REPORT_SCALE_S = 1000
 
 DemandKey = tuple[str, str, Rank]
--- a/packages/daemon/src/sycamorenotch_daemon/_document_endpoints.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_document_endpoints.py
@@ -116,7 +116,7 @@
     if expected is None:
         return Ok(None)
     if not expected.isdecimal():
-        detail = "If-Match must hold a generation, such as 12"
+        detail = "If-Match must contain a generation, such as 12"
         return Error(Failure(ErrorKind.BAD_REQUEST, detail))
     result = await store.read(name)
     if result.is_error():
--- a/packages/daemon/src/sycamorenotch_daemon/_document_store.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_document_store.py
@@ -98,7 +98,10 @@
     async def _resolve_unknown_outcome(
         self, name: str, attempt: str, base: VersionedDocument | None
     ) -> Result[VersionedDocument, Failure] | None:
-        """Resolve a write of unknown outcome.
+        """Resolve a write of unknown outcome or with a conflict.
+
+        The conflict may be with an earlier attempt of the same write that took
+        effect.
 
         :return: the outcome, or None if the write may be retried.
         """
--- a/packages/daemon/src/sycamorenotch_daemon/_drain_endpoints.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_drain_endpoints.py
@@ -24,7 +24,7 @@
 from sycamorenotch_kernel import ErrorKind
 from sycamorenotch_kernel import Failure
 
-# Operators who drain different targets concurrently must all succeed.
+# Two operators who drain different targets concurrently must both succeed.
 CHANGE_ATTEMPTS = 5
 
 Change = Callable[[tuple[Drain, ...]], tuple[Drain, ...]]
@@ -95,7 +95,9 @@
         kind = DrainKind(req.arguments["kind"])
     except ValueError:
         accepted = ", ".join(item.value for item in DrainKind)
-        return Error(Failure(ErrorKind.BAD_REQUEST, f"accepted kinds: {accepted}"))
+        return Error(
+            Failure(ErrorKind.BAD_REQUEST, f"unknown kind; accepted: {accepted}")
+        )
     return Ok(Drain(kind, req.arguments["name"], req.author, node.clock.now()))
 
 
--- a/packages/daemon/src/sycamorenotch_daemon/_fleet_demand.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_fleet_demand.py
@@ -40,7 +40,7 @@
 
         :param listed: instances in the platform's list.
         :return: demand of every served rank and region; empty while a listed
-            instance has not reported, as the sum would be too low.
+            instance has not reported.
         """
         present = set(listed)
         self._reports = {n: r for n, r in self._reports.items() if n in present}
--- a/packages/daemon/src/sycamorenotch_daemon/_http_store.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_http_store.py
@@ -37,8 +37,8 @@
 
 T = TypeVar("T")
 
-# Without a change, a watch is answered when its own timeout expires, and the
-# answer takes time to arrive.
+# Added to the timeout of a watch: without a change, the answer is sent when that
+# timeout expires and takes time to arrive.
 WATCH_MARGIN = timedelta(seconds=5)
 
 FAULTS_BY_STATUS = {404: StoreFault.NOT_FOUND, 412: StoreFault.CONFLICT}
--- a/packages/daemon/src/sycamorenotch_daemon/_instances.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_instances.py
@@ -32,7 +32,7 @@
     """Read access to the known instances of the system."""
 
     def instances(self) -> tuple[ListedInstance, ...]:
-        """Return every known instance, this one included."""
+        """Return this instance and every other one that is usable or leaving."""
         ...
 
 
@@ -41,8 +41,9 @@
 class InstanceList:
     """Merges the platform's list with the state that peers announce.
 
-    Only the watchers of a data centre poll the list; they push differences to
-    the other daemons of the data centre.
+    The watchers of a data centre poll the list and push differences to the
+    other daemons of the data centre. A daemon without a connected peer polls
+    the list for itself.
     """
 
     after: ClassVar[tuple[str, ...]] = ("configuration", "drains")
--- a/packages/daemon/src/sycamorenotch_daemon/_lease.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_lease.py
@@ -45,7 +45,8 @@
 class PlanLease:
     """Acquires, renews and releases the lease.
 
-    Only a few candidates, chosen by rendezvous hashing, call the store.
+    Only the holder and a few candidates, chosen by rendezvous hashing, call the
+    store.
     """
 
     after: ClassVar[tuple[str, ...]] = ("instances",)
--- a/packages/daemon/src/sycamorenotch_daemon/_membership_events.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_membership_events.py
@@ -13,7 +13,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class MemberChanged(Event):
-    """This daemon's view of an instance became live, leaving, suspect or gone."""
+    """An instance is now live, leaving, suspect or gone, as this daemon sees it."""
 
     instance: str
     state: str
--- a/packages/daemon/src/sycamorenotch_daemon/_operators.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_operators.py
@@ -26,7 +26,7 @@
 from sycamorenotch_kernel import operator_endpoints
 from sycamorenotch_transport import HttpListener
 
-DRAIN_TIMEOUT = timedelta(seconds=5)
+SHUTDOWN_TIMEOUT = timedelta(seconds=5)
 MAX_DOCUMENT_BYTES = 2**19
 
 
@@ -52,7 +52,7 @@
 
     async def stop(self) -> None:
         """Close the listener, with a bounded wait for requests in flight."""
-        await self._listener.stop(DRAIN_TIMEOUT)
+        await self._listener.stop(SHUTDOWN_TIMEOUT)
 
     def _app(self) -> Klein:
         app = Klein()
--- a/packages/daemon/src/sycamorenotch_daemon/_peer_codec.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_peer_codec.py
@@ -40,7 +40,7 @@
             cls = _message_classes(len(message_types)).get(number)
             return None if cls is None else _decoder_for(cls)(values)
         case _:
-            raise MalformedFrameError("not a message number and a list of fields")
+            raise MalformedFrameError("the frame is not a message number and a list")
 
 
 def unpack(frame: bytes) -> Any:
@@ -51,11 +51,14 @@
     try:
         return msgpack.unpackb(frame, strict_map_key=True)
     except Exception as exc:
-        raise MalformedFrameError(f"not msgpack: {type(exc).__name__}") from exc
+        raise MalformedFrameError(
+            f"the frame is not msgpack: {type(exc).__name__}"
+        ) from exc
 
 
 @cache
 def _message_classes(_: int) -> dict[int, type[Message]]:
+    # The number of registered types is the cache key; types may be added later.
     return {entry.value.number: entry.value for entry in message_types}
 
 
@@ -104,7 +107,9 @@
 
 def _require_type(kind: type, value: Any) -> Any:
     if type(value) is not kind:
-        raise MalformedFrameError(f"{type(value).__name__}, not {kind.__name__}")
+        raise MalformedFrameError(
+            f"a {type(value).__name__} instead of {kind.__name__}"
+        )
     return value
 
 
--- a/packages/daemon/src/sycamorenotch_daemon/_peer_events.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_peer_events.py
@@ -24,7 +24,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PeerRefused(Event):
-    """A connection was closed because the remote end violated the protocol."""
+    """A connection was closed: its peer was rejected or violated the protocol."""
 
     address: str
     reason: str
@@ -43,7 +43,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class PeerFrameRefused(Event):
-    """A malformed message was dropped; the stream stays open."""
+    """A malformed message was discarded; the stream stays open."""
 
     instance: str
     reason: str
--- a/packages/daemon/src/sycamorenotch_daemon/_peer_mesh.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_peer_mesh.py
@@ -59,6 +59,7 @@
         The peer's entry is discarded once a stream opens.
         """
         max_delay = min(MAX_BACKOFF, INITIAL_BACKOFF * 2**self._attempts)
+        # Bounds the exponent; the delay reaches its maximum before that.
         self._attempts = min(self._attempts + 1, 8)
         delay = self._node.random.random() * max_delay
         self._not_before = self._node.clock.monotonic() + delay
--- a/packages/daemon/src/sycamorenotch_daemon/_peer_stream.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_peer_stream.py
@@ -200,7 +200,7 @@
         return True
 
     def reject(self, reason: str) -> None:
-        """Report a protocol violation and close the stream."""
+        """Report why the peer is rejected and close the stream."""
         address = str(self.transport.getPeer())
         self._context.sink.emit(PeerRefused(address, reason))
         self.close()
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_asker.py
@@ -114,6 +114,7 @@
             self._accept(confirmation)
 
     def _accept(self, confirmation: PlanConfirmation) -> None:
-        # A late answer to an earlier question must not renew from the newest one.
+        # Loans are renewed from the time of the newest question, so an answer to
+        # an earlier one would renew them for too long.
         if confirmation.question == self._question_number:
             self._held_grants.confirm(confirmation.sequence, self._sent_at)
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_codec.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_codec.py
@@ -43,7 +43,7 @@
             raise ValueError("sequence is less than 1 or made_at has no time zone")
         shares = (sum(item.share for item in route.shares) for route in plan.routes)
         if any(not 0 <= share <= 1 + SHARE_TOLERANCE for share in shares):
-            raise ValueError("the shares of a route do not sum to between 0 and 1")
+            raise ValueError("the sum of a route's shares is not between 0 and 1")
         all_grants = (*plan.grants, *(item.grant for item in plan.outstanding))
         if any(min(grant.floor, grant.loan) < 0 for grant in all_grants):
             raise ValueError("a grant has a negative floor or loan")
--- a/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_plan_holder.py
@@ -93,8 +93,8 @@
 
         :param sequence: the plan in force at the instance, whose requests in
             flight are within the plan's grants.
-        :return: whether the plan is confirmed; always false unless this
-            instance is the acting lease holder.
+        :return: whether the plan is confirmed; false unless this instance holds
+            the lease and the store is known to contain the plan in force.
         """
         plan = self._watch.plan()
         acting = self._store_synced and self._is_acting()
--- a/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_store_guard.py
@@ -40,7 +40,8 @@
 
 READ_ATTEMPTS = 3
 READ_BACKOFF = timedelta(milliseconds=50)
-# Without a change, a watch is answered only when its own timeout expires.
+# Added to the timeout of a watch, as the store answers a watch without a change
+# only when that timeout expires.
 WATCH_MARGIN = timedelta(seconds=5)
 BURST_DURATION = timedelta(seconds=2)
 FAILURE_FAULTS = frozenset({StoreFault.UNAVAILABLE, StoreFault.UNKNOWN})
@@ -214,11 +215,15 @@
     ) -> Result[T, StoreError]:
         if not self._breaker.allows_call():
             self.calls.refused[call] += 1
-            return Error(StoreError(StoreFault.UNAVAILABLE, "the breaker is open"))
+            return Error(
+                StoreError(
+                    StoreFault.UNAVAILABLE, "the circuit breaker of the store is open"
+                )
+            )
         if not self._rate_limit.try_acquire():
             self.calls.refused[call] += 1
             self._sink.emit(StoreBudgetExceeded(call))
-            return Error(StoreError(StoreFault.REFUSED, "the call budget is used up"))
+            return Error(StoreError(StoreFault.REFUSED, "the rate limit is reached"))
         self.calls.made[call] += 1
         result = await self._call_with_timeout(timeout, perform, no_answer_fault)
         self._record_result(call, result)
--- a/testing/daemon/plan/test_plan_asker.py
+++ b/testing/daemon/plan/test_plan_asker.py
@@ -57,9 +57,9 @@
 
 
 def slots(instance: Any) -> int:
-    holding = instance.node.require(HeldGrants)
+    held_grants = instance.node.require(HeldGrants)
     now = instance.node.clock.monotonic()
-    return int(holding.slots("viti-west", "balance", now))
+    return int(held_grants.slots("viti-west", "balance", now))
 
 
 def test_grants_of_all_instances_are_within_the_capacity(
--- a/testing/daemon/plan/test_plan_holder.py
+++ b/testing/daemon/plan/test_plan_holder.py
@@ -45,11 +45,11 @@
     before = stored_plan(fleet)
     fleet.pass_time(20, paused=paused)
     assert stored_plan(fleet).term == 2
-    taken = fleet.table.get(PLAN_KIND, "production").ok
+    successor_plan = fleet.table.get(PLAN_KIND, "production").ok
     # Its clock has not advanced, as if the process had been suspended.
     paused.configure(2)
     paused.clock.advance(0)
-    assert fleet.table.get(PLAN_KIND, "production").ok == taken
+    assert fleet.table.get(PLAN_KIND, "production").ok == successor_plan
     assert paused.events("plan.not-written")
     paused.clock.advance(20)
     assert not paused.lease.is_held()
@@ -94,13 +94,14 @@
     fleet.pass_time(15)
     plan = fleet.holder().watch.plan()
     fleet.set_store("down")
-    made = [sum(i.guard.calls.made.values()) for i in fleet.instances]
+    calls_before = [sum(i.guard.calls.made.values()) for i in fleet.instances]
     fleet.pass_time(2 * 3600)
-    now = [sum(i.guard.calls.made.values()) for i in fleet.instances]
+    calls_after = [sum(i.guard.calls.made.values()) for i in fleet.instances]
     assert not any(instance.lease.is_held() for instance in fleet.instances)
     assert all(instance.watch.plan() == plan for instance in fleet.instances)
     assert all(
-        after - before < 2 * 3600 / 5 for before, after in zip(made, now, strict=True)
+        after - before < 2 * 3600 / 5
+        for before, after in zip(calls_before, calls_after, strict=True)
     )
     assert all(len(i.clock.getDelayedCalls()) < 10 for i in fleet.instances)
     assert all(len(i.sink.events) < 1000 for i in fleet.instances)
--- a/testing/daemon/plan/test_worker_news.py
+++ b/testing/daemon/plan/test_worker_news.py
@@ -19,7 +19,9 @@
 FIRST, OTHER = InstanceId("first"), InstanceId("second")
 
 
-def news(usable: bool = True, load: int = 500, failures: int = 0) -> WorkerObservation:
+def observation(
+    usable: bool = True, load: int = 500, failures: int = 0
+) -> WorkerObservation:
     return WorkerObservation("w", usable, load, 1000, failures)
 
 
@@ -31,33 +33,33 @@
 ) -> None:
     workers = FleetWorkers()
     for instance, value in zip((FIRST, OTHER), reported, strict=True):
-        workers.report(instance, (news(value),), SECOND)
+        workers.report(instance, (observation(value),), SECOND)
     (report,) = workers.reports((FIRST, OTHER), 2 * SECOND)
     assert report.usable is usable
 
 
 def test_report_is_the_newest_and_its_age_includes_time_since_receipt() -> None:
     workers = FleetWorkers()
-    workers.report(FIRST, (news(load=100, failures=200),), SECOND)
-    workers.report(OTHER, (news(load=900),), 3 * SECOND)
+    workers.report(FIRST, (observation(load=100, failures=200),), SECOND)
+    workers.report(OTHER, (observation(load=900),), 3 * SECOND)
     (report,) = workers.reports((FIRST, OTHER), 5 * SECOND)
     assert (report.load, report.age, report.failures) == (0.9, 3 * SECOND, 0.1)
 
 
 def test_state_is_discarded_when_the_instance_is_no_longer_listed() -> None:
     workers = FleetWorkers()
-    workers.report(FIRST, (news(),), SECOND)
+    workers.report(FIRST, (observation(),), SECOND)
     assert workers.reports((OTHER,), SECOND) == ()
 
 
 def test_load_is_absent_when_the_worker_has_not_reported() -> None:
     workers = FleetWorkers()
-    workers.report(FIRST, (news(load=-1),), SECOND)
+    workers.report(FIRST, (observation(load=-1),), SECOND)
     (report,) = workers.reports((FIRST,), SECOND)
     assert report.load is None
 
 
 def test_question_is_unchanged_when_encoded_and_decoded() -> None:
     demand = DemandReport("balance", "viti-west", Rank.URGENT, 1500)
-    question = PlanQuestion(3, 7, (demand,), (news(),))
+    question = PlanQuestion(3, 7, (demand,), (observation(),))
     assert decode_message(encode_message(question)) == question
--- a/testing/daemon/test_configuration_in_force.py
+++ b/testing/daemon/test_configuration_in_force.py
@@ -38,7 +38,7 @@
     assert monitor.violations[Invariant.I9] == 0
 
 
-def test_older_generation_is_refused_and_reported_when_the_order_is_not_checked(
+def test_older_generation_is_refused_and_reported_when_the_generation_check_is_bypassed(
     monitor: InvariantMonitor, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     configuration = ConfigurationInForce(EventList(), monitor)
--- a/testing/daemon/test_document_store.py
+++ b/testing/daemon/test_document_store.py
@@ -123,7 +123,9 @@
 
 
 @given(st.one_of(st.binary(), st.text().map(lambda text: ("{" + text).encode())))
-def test_decode_raises_only_its_own_error_when_value_is_noise(value: bytes) -> None:
+def test_decode_raises_only_invalid_envelope_error_when_value_is_random(
+    value: bytes,
+) -> None:
     try:
         found = decode_document(value)
     except InvalidEnvelopeError:
@@ -132,7 +134,7 @@
 
 
 @given(st.integers(0, 400), st.binary(max_size=3))
-def test_decode_raises_only_its_own_error_when_envelope_is_damaged(
+def test_decode_raises_only_invalid_envelope_error_when_envelope_is_damaged(
     at: int, noise: bytes
 ) -> None:
     value = encode_document(StoredDocument("[environment]\n", "ana"))
--- a/testing/daemon/test_fuzz_borders.py
+++ b/testing/daemon/test_fuzz_borders.py
@@ -101,7 +101,7 @@
 
 @settings(suppress_health_check=[HealthCheck.function_scoped_fixture], max_examples=60)
 @given(key=HEADER_VALUES, timeout=HEADER_VALUES, path=HEADER_VALUES)
-def test_daemon_answers_and_goes_on_when_headers_are_random(
+def test_daemon_answers_and_keeps_serving_when_headers_are_random(
     system: VirtualSystem, key: str, timeout: str, path: str
 ) -> None:
     headers = {"Idempotency-Key": key, "Request-Timeout": timeout, "Other": path}
--- a/testing/daemon/test_metrics.py
+++ b/testing/daemon/test_metrics.py
@@ -59,7 +59,7 @@
     run_in_reactor(scenario())
 
 
-def test_logs_hold_no_token_and_no_body(
+def test_logs_contain_no_token_and_no_body(
     example: LocalExample, run_in_reactor: Run, messages: list[dict[str, Any]]
 ) -> None:
     async def scenario() -> None:
--- a/testing/daemon/test_store_guard.py
+++ b/testing/daemon/test_store_guard.py
@@ -33,7 +33,7 @@
     return results[0]
 
 
-def test_call_is_refused_when_budget_is_used_up() -> None:
+def test_call_is_refused_when_rate_limit_is_reached() -> None:
     guard, _, reactor, _ = build_guard(rate=2)
     results = [create(guard, str(index)) for index in range(5)]
     assert [r.is_ok() for r in results] == [True] * 4 + [False]
@@ -43,7 +43,7 @@
     assert guard.calls.refused == {"create": 1}
 
 
-def test_breaker_opens_probes_and_closes_when_store_fails_and_returns() -> None:
+def test_breaker_opens_probes_and_closes_when_store_fails_and_recovers() -> None:
     guard, memory, reactor, sink = build_guard(rate=100)
     memory.fault.set("down", 0, None)
     for index in range(20):
