--- a/packages/cli/src/sycamorenotch_cli/_burn_merge.py
+++ b/packages/cli/src/sycamorenotch_cli/_burn_merge.py
@@ -27,9 +27,10 @@
 @final
 @dataclass(frozen=True, slots=True)
 class MergedBurnCause:
-    """A kind of failure that spent error budget, over all instances.
+    """Failed or slow requests of one kind, over all instances.
 
-    :param count: requests that spent budget.
+    :param kind: an error kind, ``slow``, or the class of an upstream's status.
+    :param count: number of requests; each of them spent error budget.
     :param decisions: identifiers of the newest of their decisions.
     """
 
--- a/packages/cli/src/sycamorenotch_cli/_burn_page.py
+++ b/packages/cli/src/sycamorenotch_cli/_burn_page.py
@@ -13,6 +13,7 @@
 from sycamorenotch_kernel import BurnWindow
 
 CHART_SIZE_IN = (8.0, 3.2)
+# Share of the distance between two groups of bars.
 GROUP_WIDTH = 0.8
 
 STYLE = """\
--- a/packages/cli/src/sycamorenotch_cli/_burn_report.py
+++ b/packages/cli/src/sycamorenotch_cli/_burn_report.py
@@ -85,7 +85,7 @@
     ]
     if not rows:
         return ["No request has spent error budget.", ""]
-    head = ("spent by", "kind", "requests", "newest decisions")
+    head = ("objective", "kind", "requests", "newest decisions")
     return [table(head, rows), ""]
 
 
@@ -116,5 +116,9 @@
 
 
 def _finite(value: float) -> float | None:
-    """Return a number for JSON, or None if it is infinite."""
+    """Return a rounded number for JSON.
+
+    :return: None for an infinite value, which JSON cannot express; a rate is infinite
+        if the error budget is zero.
+    """
     return None if abs(value) == float("inf") else round(value, 6)
--- a/packages/cli/src/sycamorenotch_cli/_client.py
+++ b/packages/cli/src/sycamorenotch_cli/_client.py
@@ -47,7 +47,8 @@
     """Metadata of a write, sent as headers.
 
     :param author: name recorded in the history.
-    :param expected: generation that the write replaces, or None for a new document.
+    :param expected: generation that the write replaces, or None for a new document
+        or a drain.
     :param source: environment and generation of a copied document.
     """
 
@@ -88,7 +89,10 @@
         return OperatorsClient(f"{scheme}://{address}", self._token, PEER_TIMEOUT)
 
     async def get(self, path: str, model: type[M]) -> Result[M, ApiError]:
-        """Send a GET request and validate the response."""
+        """Send a GET request and validate the response.
+
+        :return: the response, or the error that took its place.
+        """
         return await self._request("GET", path, model, {}, None)
 
     async def send(
@@ -99,7 +103,10 @@
         change: ChangeMetadata,
         body: bytes = b"",
     ) -> Result[M, ApiError]:
-        """Send a write request and validate the response."""
+        """Send a write request and validate the response.
+
+        :return: the response, or the error that took its place.
+        """
         return await self._request(method, path, model, change.headers(), body)
 
     async def _request(
@@ -127,6 +134,6 @@
                 return Ok(model.model_validate_json(content))
             problem = _ProblemModel.model_validate_json(content)
         except ValidationError:
-            detail = f"{self.url} answered {response.code} in an unknown format"
+            detail = f"{self.url} answered status {response.code} in an unknown format"
             return Error(ApiError("", "", detail, unreachable=True))
         return Error(ApiError(problem.kind, problem.title, problem.detail))
--- a/packages/cli/src/sycamorenotch_cli/_documents.py
+++ b/packages/cli/src/sycamorenotch_cli/_documents.py
@@ -33,10 +33,10 @@
 async def check(invocation: Invocation) -> Outcome:
     """Check a document locally."""
     (path,) = invocation.args
-    read = _read(path)
+    read = _read_file(path)
     if read.is_error():
         return read.error
-    problems = _problems(read.ok)
+    problems = _find_problems(read.ok)
     if problems:
         noun = "mistake" if len(problems) == 1 else "mistakes"
         text = "\n".join([f"{len(problems)} {noun} in {path}", *problems])
@@ -56,20 +56,20 @@
     """Compare a stored document with a file or with another stored one."""
     name, other = invocation.args
     client = invocation.connect()
-    stored = await _document(client, name)
+    stored = await _fetch_document(client, name)
     if stored.is_error():
         return error_outcome(stored.error)
     if Path(other).exists():
-        read = _read(other)
+        read = _read_file(other)
         if read.is_error():
             return read.error
         text, label = read.ok, other
     else:
-        found = await _document(client, other)
+        found = await _fetch_document(client, other)
         if found.is_error():
             return error_outcome(found.error)
         text, label = found.ok.text, _label(found.ok)
-    lines = _difference(stored.ok.text, text, _label(stored.ok), label)
+    lines = _diff_lines(stored.ok.text, text, _label(stored.ok), label)
     data = {"generation": stored.ok.generation, "difference": lines}
     return Outcome(ExitCode.OK, "\n".join(lines) or "no difference", data)
 
@@ -83,7 +83,7 @@
 async def show(invocation: Invocation) -> Outcome:
     """Show a stored document."""
     (name,) = invocation.args
-    found = await _document(invocation.connect(), name)
+    found = await _fetch_document(invocation.connect(), name)
     if found.is_error():
         return error_outcome(found.error)
     # Only the document, so that the output can be saved and applied again.
@@ -100,10 +100,10 @@
 async def apply(invocation: Invocation) -> Outcome:
     """Write a document with a conditional update."""
     name, path = invocation.args
-    read = _read(path)
+    read = _read_file(path)
     if read.is_error():
         return read.error
-    problems = _problems(read.ok)
+    problems = _find_problems(read.ok)
     if problems:
         text = "\n".join([f"{path} is not valid", *problems])
         return Outcome(ExitCode.INVALID, text, {"valid": False, "problems": problems})
@@ -119,7 +119,7 @@
 async def promote(invocation: Invocation) -> Outcome:
     """Copy a document and record the generation it is copied from."""
     options = invocation.options
-    found = await _document(invocation.connect(), options.source)
+    found = await _fetch_document(invocation.connect(), options.source)
     if found.is_error():
         return error_outcome(found.error)
     source = f"{options.source} generation {found.ok.generation}"
@@ -128,7 +128,7 @@
 
 async def _write(invocation: Invocation, name: str, text: str, source: str) -> Outcome:
     client, options = invocation.connect(), invocation.options
-    expected = await _expected(client, name, options.expect)
+    expected = await _expected_generation(client, name, options.expect)
     if expected.is_error():
         return error_outcome(expected.error)
     change = ChangeMetadata(options.author, expected.ok, source)
@@ -147,12 +147,12 @@
     return Outcome(waited.code, f"{head}\n{waited.text}", merged)
 
 
-async def _expected(
-    client: OperatorsClient, name: str, stated: int | None
+async def _expected_generation(
+    client: OperatorsClient, name: str, option_value: int | None
 ) -> Result[int | None, ApiError]:
-    if stated is not None:
-        return Ok(stated)
-    found = await _document(client, name)
+    if option_value is not None:
+        return Ok(option_value)
+    found = await _fetch_document(client, name)
     if found.is_ok():
         return Ok(found.ok.generation)
     if found.error.kind == ErrorKind.NOT_FOUND.value:
@@ -167,17 +167,17 @@
     outcome = error_outcome(api_error)
     if outcome.code is not ExitCode.CONFLICT:
         return outcome
-    found = await _document(client, name)
+    found = await _fetch_document(client, name)
     if found.is_error():
         return outcome
-    lines = _difference(found.ok.text, text, _label(found.ok), "yours, not stored")
+    lines = _diff_lines(found.ok.text, text, _label(found.ok), "yours, not stored")
     shown = "\n".join([outcome.text, *(lines or ["the documents do not differ"])])
     data = {**found.ok.model_dump(mode="json"), "difference": lines}
     del data["text"]
     return Outcome(outcome.code, shown, {"error": api_error.kind, "winner": data})
 
 
-async def _document(
+async def _fetch_document(
     client: OperatorsClient, name: str
 ) -> Result[DocumentModel, ApiError]:
     return await client.get(f"/v1/documents/{name}", DocumentModel)
@@ -187,12 +187,12 @@
     return f"{document.environment} generation {document.generation}"
 
 
-def _difference(old: str, new: str, old_label: str, new_label: str) -> list[str]:
+def _diff_lines(old: str, new: str, old_label: str, new_label: str) -> list[str]:
     pair = old.splitlines(), new.splitlines()
     return list(difflib.unified_diff(*pair, old_label, new_label, lineterm=""))
 
 
-def _read(path: str) -> Result[str, Outcome]:
+def _read_file(path: str) -> Result[str, Outcome]:
     try:
         return Ok(Path(path).read_text())
     except (OSError, UnicodeDecodeError) as exc:
@@ -200,7 +200,7 @@
         return Error(Outcome(ExitCode.USAGE, detail, {"error": detail}))
 
 
-def _problems(text: str) -> list[str]:
+def _find_problems(text: str) -> list[str]:
     try:
         parse_environment(text)
     except InvalidFileError as exc:
--- a/packages/cli/src/sycamorenotch_cli/_explain.py
+++ b/packages/cli/src/sycamorenotch_cli/_explain.py
@@ -49,7 +49,7 @@
         return Outcome(ExitCode.USAGE, detail, {"error": detail})
     cause = describe_cause(trace)
     event_lines = (*trace.attempts, *([] if trace.outcome is None else [trace.outcome]))
-    lines = [f"Request {request}", f"Cause: {cause}", "Decisions:"]
+    lines = [f"Request {request}", f"Cause: {cause}", "Attempts and outcome:"]
     lines += [f"  {line}" for line in event_lines]
     if trace.context:
         lines += ["Shortly before:", *(f"  {line}" for line in trace.context)]
--- a/packages/cli/src/sycamorenotch_cli/_fleet.py
+++ b/packages/cli/src/sycamorenotch_cli/_fleet.py
@@ -41,7 +41,7 @@
 
     @property
     def missing(self) -> tuple[str, ...]:
-        """Instances that could not be reached."""
+        """Instances that gave no valid response."""
         return tuple(n for n, r in self.errors.items() if r.unreachable)
 
     @property
--- a/packages/cli/src/sycamorenotch_cli/_messages.py
+++ b/packages/cli/src/sycamorenotch_cli/_messages.py
@@ -61,7 +61,10 @@
 
 
 class StatusModel(BaseModel):
-    """The state of one instance."""
+    """The state of one instance.
+
+    :param violations: number of violations of each invariant since the start.
+    """
 
     instance: str
     environment: str
@@ -112,7 +115,7 @@
 
 
 class BurnCauseModel(BaseModel):
-    """A kind of failure that spent error budget."""
+    """Failed or slow requests of one kind, which spent error budget."""
 
     kind: str
     count: int
@@ -120,7 +123,11 @@
 
 
 class ObjectiveModel(BaseModel):
-    """Counts of an objective on one instance."""
+    """Counts of an objective on one instance.
+
+    :param latency_s: latency objective, in seconds.
+    :param histogram: encoded HDR histogram of latencies, in milliseconds.
+    """
 
     service: str
     rank: str
--- a/packages/cli/src/sycamorenotch_cli/_request_trace.py
+++ b/packages/cli/src/sycamorenotch_cli/_request_trace.py
@@ -9,8 +9,8 @@
 from sycamorenotch_cli._log_parser import LogLine
 from sycamorenotch_kernel import Registry
 
-# Events of the instance and the workers within this time before the request's end
-# are context; pauses and outages of a few seconds fall within it.
+# What the instance or the workers logged within this time before the request's end
+# may explain its outcome; pauses and outages of a few seconds fall within it.
 CONTEXT_WINDOW_S = 10.0
 FINAL_EVENTS = ("request.answered", "request.refused", "request.abandoned")
 WORKER_EVENTS = ("worker.failed", "worker.removed", "worker.changed")
@@ -143,7 +143,7 @@
 def _format_attempts(trace: RequestTrace) -> str:
     attempts_text = "; ".join(
         f"{line.worker}: {line.fields.get('outcome')}, {line.fields.get('detail')}, "
-        f"load {line.fields.get('load')} per slot, entry "
+        f"load {line.fields.get('load')} per slot, worker entry "
         f"{line.fields.get('entry_age_s')} s old"
         for line in trace.attempts
     )
--- a/packages/cli/src/sycamorenotch_cli/main.py
+++ b/packages/cli/src/sycamorenotch_cli/main.py
@@ -41,7 +41,9 @@
 WAIT = flags.DEFINE_bool(
     "wait", False, "Wait until the change is in force on every instance."
 )
-WAIT_SECONDS = flags.DEFINE_float("wait_seconds", 10.0, "Maximum time to wait.")
+WAIT_SECONDS = flags.DEFINE_float(
+    "wait_seconds", 10.0, "Maximum time to wait, in seconds."
+)
 FROM = flags.DEFINE_string("from", "trial", "Environment that a promotion copies from.")
 TO = flags.DEFINE_string("to", "production", "Environment that a promotion copies to.")
 ENVIRONMENT = flags.DEFINE_string(
@@ -54,7 +56,7 @@
 
 def main() -> None:
     """Run the command that the arguments name."""
-    # Flags may follow the command's name and arguments.
+    # The command's name comes first; flags may follow it and its arguments.
     flags.FLAGS.set_gnu_getopt(True)
     positionals = [arg for arg in sys.argv[1:] if not arg.startswith("-")]
     if any(arg in HELP_WORDS for arg in sys.argv[1:]) or not positionals:
@@ -83,7 +85,7 @@
         _exit(_usage_error(str(exc)))
     if not found.accepts(len(args)):
         _exit(_usage_error(f"usage: sycamorenotch {name} {found.usage}"))
-    client = _connection()
+    client = _build_client()
     react(lambda reactor: _start(reactor, found, args, client))
 
 
@@ -140,7 +142,7 @@
         return ""
 
 
-def _connection() -> OperatorsClient:
+def _build_client() -> OperatorsClient:
     try:
         token = Path(TOKEN_FILE.value).read_text().strip() if TOKEN_FILE.value else ""
     except OSError as exc:
--- a/packages/documents/src/sycamorenotch_documents/_settings.py
+++ b/packages/documents/src/sycamorenotch_documents/_settings.py
@@ -80,6 +80,7 @@
     :param peers_endpoint: Twisted endpoint string; empty to use the address.
     :param operators_endpoint: Twisted endpoint string; empty to use the address.
     :param calls_per_second: rate limit of the daemon's calls to the store.
+    :param operator_token_file: path of the file with the operators' bearer token.
     :param log_file: path of the event log; standard error if empty.
     """
 
--- a/packages/standins/src/sycamorenotch_standins/_faults.py
+++ b/packages/standins/src/sycamorenotch_standins/_faults.py
@@ -37,6 +37,10 @@
 class UpstreamFaultRequest(FaultRequest[UpstreamMode]):
     """A fault of an upstream worker.
 
+    ``slow`` delays the response, ``crash`` aborts the connection, ``cut`` sends half of
+    the response body, ``shed`` answers 503 without running the request, and ``drain``
+    does the same and reports the worker as leaving.
+
     :param path: path of the requests that the fault affects; all if absent.
     """
 
@@ -44,7 +48,11 @@
 
 
 class StoreFaultRequest(FaultRequest[StoreMode]):
-    """A fault of the object API."""
+    """A fault of the object API.
+
+    ``down`` answers 503, ``slow`` delays the call, and ``lose_answers`` executes the
+    call and aborts the connection in place of a response.
+    """
 
 
 @final
--- a/packages/standins/src/sycamorenotch_standins/_memory.py
+++ b/packages/standins/src/sycamorenotch_standins/_memory.py
@@ -28,6 +28,9 @@
 class MemoryStore:
     """Store adapter on an object table in the same process.
 
+    The fault ``down`` makes every call fail. Any other fault executes a write and
+    reports its outcome as unknown, and makes a read fail.
+
     :param table: the objects; several adapters may share a table.
     :param reactor: schedules the timeouts of watches.
     """
--- a/packages/standins/src/sycamorenotch_standins/_store_api.py
+++ b/packages/standins/src/sycamorenotch_standins/_store_api.py
@@ -26,6 +26,7 @@
 from sycamorenotch_standins._faults import StoreFaultRequest
 from sycamorenotch_standins._objects import ObjectTable
 
+# Maximum timeout of a watch; a longer one is shortened.
 MAX_WATCH_S = 60.0
 
 HTTP_STATUS = {
--- a/packages/standins/src/sycamorenotch_standins/serve.py
+++ b/packages/standins/src/sycamorenotch_standins/serve.py
@@ -25,7 +25,9 @@
 )
 NAME = flags.DEFINE_string("name", "worker-1", "Name of the upstream worker.")
 SLOTS = flags.DEFINE_integer("slots", 4, "Concurrent requests of the worker.")
-SERVICE_TIME_MS = flags.DEFINE_float("service_time_ms", 5.0, "Duration of one request.")
+SERVICE_TIME_MS = flags.DEFINE_float(
+    "service_time_ms", 5.0, "Duration of one request, in milliseconds."
+)
 INSTANCES = flags.DEFINE_string(
     "instances", "[]", "Entries of the instance list, as a JSON list."
 )
@@ -47,8 +49,10 @@
 
 def _resource() -> IResource:
     if ROLE.value == "upstream":
-        time = timedelta(milliseconds=SERVICE_TIME_MS.value)
-        return UpstreamWorker(NAME.value, SLOTS.value, time, reactor).app.resource()
+        service_time = timedelta(milliseconds=SERVICE_TIME_MS.value)
+        return UpstreamWorker(
+            NAME.value, SLOTS.value, service_time, reactor
+        ).app.resource()
     api = StoreApi(ObjectTable(), reactor)
     for item in json.loads(INSTANCES.value):
         api.instances[item["id"]] = item
--- a/packages/transport/src/sycamorenotch_transport/_bounded_http.py
+++ b/packages/transport/src/sycamorenotch_transport/_bounded_http.py
@@ -71,9 +71,11 @@
 BuildRejection = Callable[[RejectionReason], RejectionResponse]
 
 
-def plain_text_rejection(problem: RejectionReason) -> RejectionResponse:
+def plain_text_rejection(rejection_reason: RejectionReason) -> RejectionResponse:
     """Return a 400 response with a plain text body."""
-    return RejectionResponse("400 Bad Request", "text/plain", problem.value.encode())
+    return RejectionResponse(
+        "400 Bad Request", "text/plain", rejection_reason.value.encode()
+    )
 
 
 @final
@@ -149,14 +151,14 @@
         self._stop_timer()
         super().connectionLost(reason)
 
-    def reject(self, problem: RejectionReason) -> None:
+    def reject(self, rejection_reason: RejectionReason) -> None:
         """Answer the request that is being received and close the connection."""
         if self._rejected:
             return
         self._rejected = True
         self._stop_timer()
         self.setTimeout(None)
-        self.transport.write(self._build_rejection(problem).encode())
+        self.transport.write(self._build_rejection(rejection_reason).encode())
         # Closing a socket with unread input sends a reset, on which the peer may
         # discard the response. Therefore close the write side only, and discard
         # input for a while.
@@ -168,9 +170,9 @@
         self._receive_timer = self._reactor.callLater(LINGERING_CLOSE_S, self._abort)
 
     def _respondToBadRequestAndDisconnect(self) -> None:
-        sized = self._receivedHeaderSize > self.totalHeadersSize
-        counted = self._receivedHeaderCount > self.maxHeaders
-        too_large = sized or counted
+        headers_too_long = self._receivedHeaderSize > self.totalHeadersSize
+        too_many_headers = self._receivedHeaderCount > self.maxHeaders
+        too_large = headers_too_long or too_many_headers
         self.reject(
             RejectionReason.HEADERS_TOO_LARGE
             if too_large
--- a/packages/transport/src/sycamorenotch_transport/_http1_client.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_client.py
@@ -21,12 +21,14 @@
 from sycamorenotch_transport._sockets import configure_socket
 
 MAX_HEAD_BYTES = 65_536
-# Responses are buffered completely.
+# Size of a response body, which is buffered completely.
 MAX_RESPONSE_BYTES = 33_554_432
 KEEP_ALIVE_TIMEOUT_PATTERN = re.compile(r"timeout=(\d+)")
-# The server's idle timeout may end while a request is in flight to it.
+# The server may close the connection at the moment its idle timeout ends, while a
+# request is in flight to it.
 KEEP_ALIVE_MARGIN_S = 1.0
-# For servers that send no ``Keep-Alive: timeout``.
+# Idle time after which a connection is not reused, for servers that send no
+# ``Keep-Alive: timeout``.
 DEFAULT_MAX_IDLE_S = 4.0
 
 ResponseMatcher = Callable[[HttpResponse], bool]
@@ -40,7 +42,7 @@
     :param connected: whether the connection was established.
     :param idle_s: seconds for which the connection was idle before the request,
         or None if this was its first request.
-    :param began: whether any byte of a response arrived.
+    :param response_started: whether any byte of a response arrived.
     """
 
     def __init__(
--- a/packages/transport/src/sycamorenotch_transport/_http1_messages.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_messages.py
@@ -7,8 +7,8 @@
 
 HeaderPairs = tuple[tuple[str, str], ...]
 
-# RFC 9110, section 7.6.1.
-CONNECTION_HEADERS = frozenset(
+# Hop-by-hop headers, which concern one connection only (RFC 9110, section 7.6.1).
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -88,7 +88,7 @@
         if key.lower() == "connection"
         for item in value.split(",")
     }
-    dropped = CONNECTION_HEADERS | nominated
+    dropped = HOP_BY_HOP_HEADERS | nominated
     return tuple(pair for pair in headers if pair[0].lower() not in dropped)
 
 
--- a/packages/transport/src/sycamorenotch_transport/_http1_pool.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_pool.py
@@ -80,7 +80,8 @@
         :param connect_timeout_s: timeout of opening a connection.
         :param matches: whether a response is the one to this request; others are
             discarded.
-        :param max_idle_s: connections that were idle for longer are not reused.
+        :param max_idle_s: connections that were idle for longer are not reused, in
+            addition to each connection's own limit.
         :raises ExchangeError: if no complete response arrives.
         """
         connection = self._acquire_idle(max_idle_s)
@@ -119,9 +120,11 @@
         now = self._clock()
         while self._idle:
             connection = self._idle.pop()
-            idle = now - connection.idle_since
-            if connection.reusable and idle < min(max_idle_s, connection.max_idle_s):
-                connection.idle_s = idle
+            idle_for_s = now - connection.idle_since
+            if connection.reusable and idle_for_s < min(
+                max_idle_s, connection.max_idle_s
+            ):
+                connection.idle_s = idle_for_s
                 return connection
             connection.abort()
         return None
--- a/packages/transport/src/sycamorenotch_transport/_http1_server.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_server.py
@@ -22,7 +22,7 @@
 from sycamorenotch_transport._sockets import configure_socket
 
 BODILESS_STATUS = frozenset({204, 304})
-CLOSE = ("Connection", "close")
+CLOSE_HEADER = ("Connection", "close")
 
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 BuildErrorResponse = Callable[[int, str], HttpResponse]
@@ -190,15 +190,15 @@
         ):
             headers.append(("Content-Length", str(len(response.body))))
         if last:
-            headers.append(CLOSE)
+            headers.append(CLOSE_HEADER)
         head = h11.Response(
             status_code=response.status,
             headers=encode_headers(tuple(headers)),
             reason=response.reason.encode("latin-1"),
         )
         out = [self._http.send(head)]
-        bodiless = self._head is not None and self._head.method == b"HEAD"
-        if response.body and not bodiless:
+        head_request = self._head is not None and self._head.method == b"HEAD"
+        if response.body and not head_request:
             out.append(self._http.send(h11.Data(data=response.body)))
         out.append(self._http.send(h11.EndOfMessage()))
         self.transport.write(b"".join(filter(None, out)))
@@ -245,6 +245,7 @@
     :param build_error: builds the response to a request that is malformed, exceeds
         a limit, or whose handler raised.
     :param report: receives a message for each of these requests.
+    :param http_limits: limits on the clients; by default those of ``HttpLimits``.
     """
 
     noisy = False
--- a/packages/transport/src/sycamorenotch_transport/_resolver.py
+++ b/packages/transport/src/sycamorenotch_transport/_resolver.py
@@ -31,7 +31,7 @@
 class LiteralResolver:
     """Resolves IP address literals only, without threads.
 
-    Instances address each other by IP address. The default resolver of the
+    Processes address each other by IP address. The default resolver of the
     reactor would start a thread pool.
     """
 
--- a/packages/transport/src/sycamorenotch_transport/_sockets.py
+++ b/packages/transport/src/sycamorenotch_transport/_sockets.py
@@ -5,7 +5,8 @@
 import socket
 from typing import Any
 
-# Without traffic, a dead peer is detected after about IDLE + COUNT * INTERVAL.
+# Without traffic, a dead peer is detected after about IDLE + COUNT * INTERVAL
+# seconds.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
--- a/testing/cli/test_binary.py
+++ b/testing/cli/test_binary.py
@@ -14,13 +14,13 @@
 
 ROOT = Path(__file__).parents[2]
 BINARY = Path(sys.executable).with_name("sycamorenotch")
-LIMIT_S = 60
+TIMEOUT_S = 60
 
 
 def run_binary(*args: str) -> subprocess.CompletedProcess[str]:
     command = [str(BINARY), *args]
     return subprocess.run(
-        command, capture_output=True, text=True, timeout=LIMIT_S, cwd=ROOT
+        command, capture_output=True, text=True, timeout=TIMEOUT_S, cwd=ROOT
     )
 
 
--- a/testing/cli/test_burn_report.py
+++ b/testing/cli/test_burn_report.py
@@ -63,7 +63,7 @@
 
 
 class ClientWithUnreachablePeer:
-    """Client of an instance whose only peer cannot be reached."""
+    """Client of an instance whose only peer is unreachable."""
 
     def __init__(self, client: OperatorsClient) -> None:
         self._client = client
--- a/testing/cli/test_commands.py
+++ b/testing/cli/test_commands.py
@@ -74,18 +74,18 @@
     callers = example.describe()["callers"][0]
     url = f"{callers}/v1/lookup?service=balance&client=10.1.0.7"
 
-    async def named() -> int:
+    async def count_instances() -> int:
         answer = await treq.json_content(await treq.get(url))
         return len(answer["instances"])
 
-    assert run_in_reactor(named()) == 2
+    assert run_in_reactor(count_instances()) == 2
     drained = run_command("drain", "instance", "entry-suva", wait=True)
     assert drained.code is ExitCode.OK
-    assert run_in_reactor(named()) == 1
+    assert run_in_reactor(count_instances()) == 1
     assert "drained: instance entry-suva, by ana" in run_command("status").text
     undone = run_command("drain", "instance", "entry-suva", wait=True, undo=True)
     assert undone.data["drains"] == []
-    assert run_in_reactor(named()) == 2
+    assert run_in_reactor(count_instances()) == 2
 
 
 def test_workers_receive_no_calls_when_data_centre_is_drained(
@@ -93,14 +93,14 @@
 ) -> None:
     callers = example.describe()["callers"][0]
 
-    async def workers() -> set[str]:
+    async def responding_workers() -> set[str]:
         answers = [
             await treq.get(f"{callers}/v1/call/balance/balances/1") for _ in range(12)
         ]
         return {(await treq.json_content(answer))["worker"] for answer in answers}
 
     run_command("drain", "data-centre", "nadi", wait=True)
-    used = run_in_reactor(workers())
+    used = run_in_reactor(responding_workers())
     run_command("drain", "data-centre", "nadi", wait=True, undo=True)
     assert not {name for name in used if name.startswith("balance-nadi")}
 
--- a/testing/cli/test_request_trace.py
+++ b/testing/cli/test_request_trace.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "words"),
+    ("kind", "expected_text"),
     [
         ("overloaded", "no room"),
         ("upstream-failed", "i-1: no answer, connection lost"),
@@ -53,9 +53,9 @@
         ("internal", "refused it as internal: why"),
     ],
 )
-def test_cause_when_the_request_was_refused(kind, words) -> None:
+def test_cause_when_the_request_was_refused(kind, expected_text) -> None:
     lines = tuple(parse_lines([ATTEMPT, refused(kind)]))
-    assert words in describe_cause(trace_request(lines, "r1"))
+    assert expected_text in describe_cause(trace_request(lines, "r1"))
 
 
 def test_cause_when_the_instance_ended_before_the_request() -> None:
@@ -88,7 +88,7 @@
     assert [item.worker for item in parse_lines(texts)] == ["i-1"]
 
 
-def test_explain_reads_logs(run_in_reactor, tmp_path) -> None:
+def test_explain_states_cause_when_logs_are_given(run_in_reactor, tmp_path) -> None:
     path = tmp_path / "a.log"
     path.write_text(ATTEMPT + "\n" + refused("upstream-failed") + "\n")
     options = Options(logs=(str(path),))
--- a/testing/documents/test_environment.py
+++ b/testing/documents/test_environment.py
@@ -25,7 +25,9 @@
         ),
     ],
 )
-def test_parse_when_document_is_an_example(name: str, workers: dict[str, int]) -> None:
+def test_parse_finds_workers_of_each_service_when_document_is_an_example(
+    name: str, workers: dict[str, int]
+) -> None:
     environment = parse_environment((EXAMPLES / f"{name}.ini").read_text())
     found = {s: len(environment.workers_of(s)) for s in environment.services}
     assert found == workers
