--- a/packages/cli/src/sycamorenotch_cli/_explain.py
+++ b/packages/cli/src/sycamorenotch_cli/_explain.py
@@ -52,7 +52,10 @@
     lines = [f"Request {request}", f"Cause: {cause}", "Attempts and outcome:"]
     lines += [f"  {line}" for line in event_lines]
     if trace.context:
-        lines += ["Shortly before:", *(f"  {line}" for line in trace.context)]
+        lines += [
+            "Preceding events of its instance and workers:",
+            *(f"  {line}" for line in trace.context),
+        ]
     data = {
         "request": request,
         "cause": cause,
--- a/packages/cli/src/sycamorenotch_cli/_fleet.py
+++ b/packages/cli/src/sycamorenotch_cli/_fleet.py
@@ -30,7 +30,7 @@
 class FleetResponses(Generic[M]):
     """Responses of the instances.
 
-    :param listed: the instance list of the first instance.
+    :param listed: all instances, as listed by the first one.
     :param responses: responses by instance.
     :param errors: errors of the other instances, by instance.
     """
--- a/packages/cli/src/sycamorenotch_cli/_request_trace.py
+++ b/packages/cli/src/sycamorenotch_cli/_request_trace.py
@@ -27,7 +27,8 @@
 
     :param outcome: line of the request's final event, if there is one.
     :param attempts: lines of failed attempts.
-    :param context: preceding lines of its instance and its workers.
+    :param context: lines of its instance and its workers that precede its end by at
+        most ``CONTEXT_WINDOW_S``.
     """
 
     outcome: LogLine | None
@@ -82,7 +83,10 @@
 
 
 def _default_cause(trace: RequestTrace) -> str:
-    return f"The system refused it as {trace.field('kind')}: {trace.field('detail')}."
+    return (
+        f"The system refused the request as {trace.field('kind')}: "
+        f"{trace.field('detail')}."
+    )
 
 
 @causes.register("request.answered")
@@ -97,25 +101,29 @@
 @causes.register("request.abandoned")
 def _abandoned(trace: RequestTrace) -> str:
     seconds = trace.field("seconds")
-    return f"The caller closed its connection after {seconds} s, before an answer."
+    return f"The caller closed its connection after {seconds} s, before a response."
 
 
 @causes.register("overloaded")
 def _overloaded(trace: RequestTrace) -> str:
     return (
-        f"Service {trace.field('service')} had no room: {trace.field('detail')}; the "
-        f"caller was asked to retry after {trace.field('retry_after_s')} s."
+        f"Service {trace.field('service')} had no free capacity: "
+        f"{trace.field('detail')}; the caller was asked to retry after "
+        f"{trace.field('retry_after_s')} s."
     )
 
 
 @causes.register("upstream-shed")
 def _shed(trace: RequestTrace) -> str:
-    return f"Each worker that was tried refused to run it{_format_attempts(trace)}."
+    return (
+        "Each worker that was tried refused to run the request"
+        f"{_format_attempts(trace)}."
+    )
 
 
 @causes.register("upstream-failed")
 def _failed(trace: RequestTrace) -> str:
-    return f"Its worker was lost and may have run it{_format_attempts(trace)}."
+    return f"Its worker was lost and may have run the request{_format_attempts(trace)}."
 
 
 @causes.register("deadline-passed")
@@ -126,7 +134,7 @@
 
 @causes.register("not-ready")
 def _not_ready(trace: RequestTrace) -> str:
-    return "The instance had started and knew no configuration or no workers yet."
+    return "The instance had started but had no configuration or no workers yet."
 
 
 @causes.register("unknown-route")
--- a/packages/cli/src/sycamorenotch_cli/_status.py
+++ b/packages/cli/src/sycamorenotch_cli/_status.py
@@ -44,12 +44,12 @@
 
 
 def _row(fleet: FleetResponses[StatusModel], item: InstanceModel) -> tuple[object, ...]:
-    place = (item.id, item.region, item.data_centre)
+    location = (item.id, item.region, item.data_centre)
     response = fleet.responses.get(item.id)
     if response is None:
-        return (*place, "no answer", "-", "-")
+        return (*location, "no answer", "-", "-")
     state = "leaving" if response.stopping else item.state
-    return (*place, state, response.generation, sum(response.violations.values()))
+    return (*location, state, response.generation, sum(response.violations.values()))
 
 
 def _drain_lines(fleet: FleetResponses[StatusModel]) -> list[str]:
--- a/packages/cli/src/sycamorenotch_cli/_waiting.py
+++ b/packages/cli/src/sycamorenotch_cli/_waiting.py
@@ -25,7 +25,8 @@
     """On how many instances a generation is in force.
 
     :param total: number of instances.
-    :param behind: instances with an older generation or without a response.
+    :param behind: identifiers of the instances with an older generation or without a
+        response; the URL of the first one if it cannot list them.
     """
 
     generation: int
--- a/packages/transport/src/sycamorenotch_transport/_http1_client.py
+++ b/packages/transport/src/sycamorenotch_transport/_http1_client.py
@@ -70,7 +70,8 @@
 class ClientConnection(Protocol):
     """Connection to a server with at most one request in flight.
 
-    :param on_done: called when an exchange has ended or the connection is lost.
+    :param on_done: called when an exchange is complete and when the connection is
+        lost.
     """
 
     def __init__(self, on_done: Callable[[ClientConnection], None]) -> None:
--- a/testing/cli/test_request_trace.py
+++ b/testing/cli/test_request_trace.py
@@ -43,14 +43,14 @@
 @pytest.mark.parametrize(
     ("kind", "expected_text"),
     [
-        ("overloaded", "no room"),
+        ("overloaded", "had no free capacity: why"),
         ("upstream-failed", "i-1: no answer, connection lost"),
-        ("upstream-shed", "refused to run it"),
+        ("upstream-shed", "refused to run the request"),
         ("deadline-passed", "No worker answered within 0.5 s"),
-        ("not-ready", "knew no configuration"),
+        ("not-ready", "had no configuration"),
         ("unknown-route", "Version 7"),
         ("quarantined", "crashed several workers"),
-        ("internal", "refused it as internal: why"),
+        ("internal", "refused the request as internal: why"),
     ],
 )
 def test_cause_when_the_request_was_refused(kind, expected_text) -> None:
--- a/testing/platform/test_explain.py
+++ b/testing/platform/test_explain.py
@@ -17,11 +17,11 @@
 PATHS = ("/safe/1", "/once/1", "/load/1")
 # Text expected in the cause of a failed request, by the injected fault.
 CAUSES = {
-    "shed": ("refused to run it",),
-    "cut": ("was lost and may have run it", "has crashed several workers"),
+    "shed": ("refused to run the request",),
+    "cut": ("was lost and may have run the request", "has crashed several workers"),
     "silent": ("No worker answered within",),
     "fail": ("answered with status 500",),
-    "empty": ("had no room",),
+    "empty": ("had no free capacity",),
     "no route": ("has no route",),
 }
 # A worker may still be paused after the fault of an earlier request.
