--- a/packages/cli/src/sycamorenotch_cli/_burn_page.py
+++ b/packages/cli/src/sycamorenotch_cli/_burn_page.py
@@ -112,6 +112,7 @@
 def _draw_groups(axes: Any, names: list[str], groups: dict[str, list[float]]) -> None:
     width = GROUP_WIDTH / len(groups)
     for index, (label, values) in enumerate(groups.items()):
+        # An infinite burn rate, of an objective without an error budget, has no bar.
         shown = [value if value < float("inf") else 0.0 for value in values]
         positions = [position + index * width for position in range(len(names))]
         axes.bar(positions, shown, width, label=label)
