--- a/packages/cli/src/sycamorenotch_cli/_fleet.py
+++ b/packages/cli/src/sycamorenotch_cli/_fleet.py
@@ -30,7 +30,7 @@
 class FleetResponses(Generic[M]):
     """Responses of the instances.
 
-    :param listed: the instance list of the first instance.
+    :param listed: all instances, as listed by the first one.
     :param responses: responses by instance.
     :param errors: errors of the other instances, by instance.
     """
@@ -41,7 +41,7 @@
 
     @property
     def missing(self) -> tuple[str, ...]:
-        """Instances that could not be reached."""
+        """Instances that gave no valid response."""
         return tuple(n for n, r in self.errors.items() if r.unreachable)
 
     @property
