--- a/packages/daemon/src/sycamorenotch_daemon/_admission_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_admission_stage.py
@@ -121,7 +121,9 @@
     def release(self, ticket: Ticket, latency: timedelta, outcome: Outcome) -> None:
         """Free the slot of a ticket and decide the tickets that wait for it.
 
-        :param latency: time that the upstream took.
+        :param latency: time that the last attempt spent at its worker; zero if no
+            attempt was sent.
+        :param outcome: how the call ended, for the discipline's measurements.
         """
         now = self._node.clock.monotonic()
         discipline = self._discipline_by_ticket.pop(ticket.id)
--- a/packages/daemon/src/sycamorenotch_daemon/_background.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_background.py
@@ -18,7 +18,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class TurnFailed(Event):
-    """A run of a periodic task raised an exception; the next runs as scheduled."""
+    """A run of a periodic task raised an exception; it runs again after a delay."""
 
     turn: str
     error: str
@@ -29,7 +29,8 @@
 ) -> PeriodicTask:
     """Return a periodic task that emits an event when a run fails.
 
-    :param turn: function of one run, which returns the delay until the next.
+    :param turn: does one run and returns the delay before the next; its qualified
+        name identifies the task in the event.
     """
     return PeriodicTask(
         reactor, turn, lambda name, error: sink.emit(TurnFailed(name, error))
--- a/packages/daemon/src/sycamorenotch_daemon/_breaker.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_breaker.py
@@ -11,7 +11,7 @@
 
 from sycamorenotch_kernel import Clock
 
-FAILURE_THRESHOLD = 5
+CONSECUTIVE_FAILURE_THRESHOLD = 5
 MIN_COOL_DOWN = timedelta(seconds=1)
 MAX_COOL_DOWN = timedelta(seconds=4)
 
@@ -55,7 +55,8 @@
     for state in (opened, half_open, probing):
         state.upon(BreakerInputs.trip).to(opened).returns(False)
     closed.upon(BreakerInputs.end_cool_down).loop().returns(None)
-    # A probe may be a long watch, so that each cool-down allows another probe.
+    # A probe can be a watch that stays open for long. The end of each cool-down
+    # therefore allows another probe, although the last one has not ended.
     for state in (opened, half_open, probing):
         state.upon(BreakerInputs.end_cool_down).to(half_open).returns(None)
     return builder
@@ -66,7 +67,7 @@
 
 @final
 class CircuitBreaker:
-    """Refuses calls while the store fails, with one probe for each cool-down.
+    """Refuses calls while the store fails, except one probe after each cool-down.
 
     :param random: source of the jitter that spreads the probes of the instances.
     """
@@ -98,12 +99,12 @@
         return self._state_machine.recover()
 
     def record_failure(self) -> bool:
-        """Record a failed call.
+        """Record a failed call, which counts until the next success.
 
         :return: whether the breaker opened.
         """
         self._failures += 1
-        if self._failures < FAILURE_THRESHOLD:
+        if self._failures < CONSECUTIVE_FAILURE_THRESHOLD:
             return False
         self._cool_down_ends_at = self._clock.monotonic() + self._cool_down()
         return self._state_machine.trip()
--- a/packages/daemon/src/sycamorenotch_daemon/_call_events.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_call_events.py
@@ -37,7 +37,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class RetryScheduled(Event):
-    """A failed attempt will be retried after a delay."""
+    """A failed attempt will be retried after a delay in seconds."""
 
     decision: str
     attempt: int
@@ -61,7 +61,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class QuarantineRefused(Event):
-    """A call was refused because its request is in quarantine."""
+    """A call was refused; its request stays in quarantine for some seconds."""
 
     decision: str
     signature: str
--- a/packages/daemon/src/sycamorenotch_daemon/_callers.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_callers.py
@@ -35,11 +35,11 @@
 from sycamorenotch_kernel import front_ends
 from sycamorenotch_transport import HttpListener
 
-MAX_TIMEOUT = timedelta(hours=1)
+MAX_REQUEST_TIMEOUT = timedelta(hours=1)
 IDEMPOTENCY_KEY_PATTERN = re.compile(r"[A-Za-z0-9._~:-]{1,128}")
-# A reactor may run a delayed call slightly early by the monotonic clock.
+# A reactor may end a delay slightly early as measured by the monotonic clock.
 CLOCK_TOLERANCE = timedelta(milliseconds=50)
-TIMEOUT_S_PATTERN = re.compile(r"[0-9]{1,6}(?:\.[0-9]{1,6})?")
+REQUEST_TIMEOUT_S_PATTERN = re.compile(r"[0-9]{1,6}(?:\.[0-9]{1,6})?")
 
 
 @components.register("callers")
@@ -207,17 +207,17 @@
     values = _raw_values(req, b"Request-Timeout")
     if not values:
         return Ok(default)
-    well_formed = len(values) == 1 and TIMEOUT_S_PATTERN.fullmatch(values[0])
+    well_formed = len(values) == 1 and REQUEST_TIMEOUT_S_PATTERN.fullmatch(values[0])
     timeout = timedelta(seconds=float(values[0])) if well_formed else timedelta()
-    if not timedelta() < timeout <= MAX_TIMEOUT:
-        detail = "expected decimal seconds, greater than 0 and at most 3600"
+    if not timedelta() < timeout <= MAX_REQUEST_TIMEOUT:
+        detail = "Request-Timeout must be decimal seconds, above 0 and at most 3600"
         return Error(Failure(ErrorKind.BAD_TIMEOUT, detail))
     return Ok(timeout)
 
 
 def _write_answer(req: Request, answer: CallAnswer, decision: DecisionId) -> bytes:
     req.setResponseCode(answer.status)
-    # Headers of the upstream replace the server's defaults, such as Date.
+    # Headers of the upstream replace the defaults of the server (Date, Server).
     for name, _ in answer.headers:
         req.responseHeaders.removeHeader(name)
     for name, value in answer.headers:
--- a/packages/daemon/src/sycamorenotch_daemon/_calls.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_calls.py
@@ -44,7 +44,7 @@
         node.provide(CallPipeline, self)
 
     async def start(self) -> None:
-        """Do nothing, since the components that own the stages start them."""
+        """Do nothing, since the components behind the stages start themselves."""
 
     async def stop(self) -> None:
         """Do nothing, since the front ends wait for the calls in flight."""
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_codec.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_codec.py
@@ -19,10 +19,10 @@
 from sycamorenotch_policies import ClaimState
 from sycamorenotch_policies import RecordedAnswer
 
-CLAIM_FORMAT = 1
+CLAIM_FORMAT_VERSION = 1
 CLAIM_KIND_PREFIX = "claims-"
-SHARD_DIGITS = 3
-SHARD_COUNT = 16**SHARD_DIGITS
+SHARD_HEX_DIGITS = 3
+SHARD_COUNT = 16**SHARD_HEX_DIGITS
 
 
 class _AnswerModel(BaseModel):
@@ -50,7 +50,7 @@
 
     @model_validator(mode="after")
     def _check(self) -> _ClaimModel:
-        if self.format != CLAIM_FORMAT:
+        if self.format != CLAIM_FORMAT_VERSION:
             raise ValueError(f"unknown claim format {self.format}")
         if (self.state is ClaimState.DONE) != (self.answer is not None):
             raise ValueError("a claim has an answer exactly if its state is done")
@@ -59,7 +59,7 @@
 
 def claim_kind(shard: int) -> str:
     """Return the object kind of one shard of the claims."""
-    return f"{CLAIM_KIND_PREFIX}{shard:0{SHARD_DIGITS}x}"
+    return f"{CLAIM_KIND_PREFIX}{shard:0{SHARD_HEX_DIGITS}x}"
 
 
 def claim_location(service: str, key: str) -> tuple[str, str]:
@@ -68,7 +68,7 @@
     :param key: idempotency key, unique within the service.
     """
     digest = hashlib.sha256(f"{service}\n{key}".encode()).hexdigest()
-    shard = int(digest[:SHARD_DIGITS], 16)
+    shard = int(digest[:SHARD_HEX_DIGITS], 16)
     return claim_kind(shard), f"{service}.{digest}"
 
 
@@ -76,7 +76,7 @@
     """Return the stored form of a claim."""
     answer = claim.answer
     fields = {
-        "format": CLAIM_FORMAT,
+        "format": CLAIM_FORMAT_VERSION,
         "fingerprint": claim.fingerprint,
         "attempt": claim.attempt,
         "instance": claim.instance,
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_collector.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_collector.py
@@ -21,7 +21,7 @@
 
 RUN_INTERVAL = timedelta(seconds=5)
 STORE_TIMEOUT = timedelta(seconds=2)
-MAX_REMOVALS = 10
+MAX_REMOVALS_PER_RUN = 10
 
 
 @components.register("claim-collector")
@@ -40,8 +40,8 @@
         self._lease = node.require(PlanLease)
         self._expiry = ClaimExpiry(node.settings.instance)
         self._loop = make_periodic_task(node.reactor, node.sink, self._turn)
-        # Starts at a random shard, so that frequent changes of the holder do
-        # not keep collecting the same shards.
+        # A random shard, so that a new holder does not start where every
+        # earlier one started.
         self._shard = node.random.randrange(SHARD_COUNT)
 
     async def start(self) -> None:
@@ -65,7 +65,7 @@
         claims = [(stored, item.ok) for stored, item in decoded if item.is_ok()]
         self._expiry.observe(claim for _, claim in claims)
         removed = 0
-        for stored in islice(self._expired(claims), MAX_REMOVALS):
+        for stored in islice(self._expired(claims), MAX_REMOVALS_PER_RUN):
             deleted = await self._node.store.delete(
                 kind, stored.name, stored.version, STORE_TIMEOUT
             )
@@ -74,7 +74,7 @@
             removed += 1
         if removed:
             self._node.sink.emit(ClaimsCollected(kind, len(listed.ok), removed))
-        if removed < MAX_REMOVALS:
+        if removed < MAX_REMOVALS_PER_RUN:
             self._shard = (self._shard + 1) % SHARD_COUNT
 
     def _expired(self, claims: list[tuple[StoredObject, Claim]]) -> list[StoredObject]:
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_settler.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_settler.py
@@ -1,4 +1,4 @@
-"""Writes the final states of claims, with retries while the store fails."""
+"""Writes the final states of claims and retries those that are not confirmed."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 from sycamorenotch_policies import ClaimWriteLost
 from sycamorenotch_policies import ClaimWritten
 
-MAX_WAITING = 512
-MAX_BODY_BYTES = 4 * 1024 * 1024
+MAX_WAITING_SETTLEMENTS = 512
+MAX_WAITING_BODY_BYTES = 4 * 1024 * 1024
 STORE_TIMEOUT = timedelta(seconds=2)
-MIN_DELAY = timedelta(milliseconds=100)
-MAX_DELAY = timedelta(seconds=30)
-MAX_DOUBLINGS = 10
+MIN_RETRY_DELAY = timedelta(milliseconds=100)
+MAX_RETRY_JITTER = timedelta(seconds=30)
+MAX_JITTER_DOUBLINGS = 10
 
-# A write whose answer was lost can take effect after a read missed it.
+# A write whose answer was lost can take effect after a read did not find it.
 LATE_WRITE_WINDOW = timedelta(seconds=60)
 
 
@@ -91,7 +91,7 @@
         """Do nothing, since the loop starts with the first deferred settlement."""
 
     async def stop(self) -> None:
-        """Retry each waiting settlement once and drop those that fail."""
+        """Retry the waiting settlements until one fails, and drop the rest."""
         if self._loop is not None:
             self._loop.cancel()
         await self._retry_waiting()
@@ -144,9 +144,12 @@
             self._loop.addErrback(_ignore_cancelled)
 
     def _enforce_limits(self) -> None:
-        while len(self._waiting) > MAX_WAITING or self._body_bytes() > (MAX_BODY_BYTES):
+        while (
+            len(self._waiting) > MAX_WAITING_SETTLEMENTS
+            or self._body_bytes() > MAX_WAITING_BODY_BYTES
+        ):
             _, oldest = self._waiting.popitem(last=False)
-            self._report_dropped(oldest, "too many settlements are waiting")
+            self._report_dropped(oldest, "too many settlements wait for the store")
 
     def _body_bytes(self) -> int:
         return sum(item.body_bytes for item in self._waiting.values())
@@ -166,9 +169,9 @@
             self._loop = None
 
     def _delay(self) -> timedelta:
-        growth: int = 2 ** min(self._failures, MAX_DOUBLINGS)
-        jitter_range = min(MIN_DELAY * growth, MAX_DELAY)
-        return MIN_DELAY + jitter_range * self._node.random.random()
+        growth: int = 2 ** min(self._failures, MAX_JITTER_DOUBLINGS)
+        jitter_range = min(MIN_RETRY_DELAY * growth, MAX_RETRY_JITTER)
+        return MIN_RETRY_DELAY + jitter_range * self._node.random.random()
 
     async def _retry_waiting(self) -> None:
         for attempt in tuple(self._waiting):
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_stage.py
@@ -41,7 +41,7 @@
 
 STORE_TIMEOUT = timedelta(seconds=1)
 SETTLE_TIMEOUT = timedelta(milliseconds=500)
-MAX_RECORDED_CLAIMS = 10_000
+MAX_MAY_HAVE_RUN_CLAIMS = 10_000
 
 
 @call_stages.register("claim")
@@ -53,15 +53,17 @@
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        # Names of claims whose request may have run through this instance.
+        # Names of claims whose request this instance sent and which may have run.
         self._may_have_run: OrderedDict[str, None] = OrderedDict()
 
     async def run(self, call: Call, proceed: Proceed) -> CallResult:
-        """Run the claim protocol for a call that is not idempotent."""
+        """Run the claim protocol for a call whose route is not idempotent."""
         if call.route.idempotent:
             return await proceed(call)
         if call.key is None:
-            failure = Failure(ErrorKind.BAD_IDEMPOTENCY_KEY, "a key is required")
+            failure = Failure(
+                ErrorKind.BAD_IDEMPOTENCY_KEY, "the route requires an Idempotency-Key"
+            )
             return Error(failure)
         handle = claim_handle(self._node.store, call.route.service, call.key)
         protocol = self._create_protocol(call, handle)
@@ -121,7 +123,10 @@
     ) -> ClaimInput:
         now = self._node.clock.monotonic()
         claim_confirmed = protocol.record.dispatched and protocol.version is not None
-        detail = f"attempt {protocol.request.attempt} of call {call.id}"
+        detail = (
+            f"attempt {protocol.request.attempt} of call {call.id} has no confirmed"
+            " claim or is past its deadline"
+        )
         if not self._node.invariants.holds(
             Invariant.I6, claim_confirmed and now < call.deadline, detail
         ):
@@ -183,7 +188,7 @@
             self._may_have_run.move_to_end(handle.name)
         elif protocol.record.dispatched:
             self._may_have_run.pop(handle.name, None)
-        if len(self._may_have_run) > MAX_RECORDED_CLAIMS:
+        if len(self._may_have_run) > MAX_MAY_HAVE_RUN_CLAIMS:
             self._may_have_run.popitem(last=False)
 
     def _read_clock(self) -> ClockReading:
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_store.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_store.py
@@ -43,7 +43,10 @@
     name: str
 
     async def read(self, timeout: timedelta) -> ReadOutcome:
-        """Read and decode the claim."""
+        """Read and decode the claim.
+
+        :return: the claim, or the reason why it could not be read.
+        """
         found = await self.store.get(self.kind, self.name, timeout)
         if found.is_ok():
             return _decode_stored(found.ok)
--- a/packages/daemon/src/sycamorenotch_daemon/_connections.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_connections.py
@@ -63,7 +63,7 @@
         self._budget = budget
 
     def connect(self, protocolFactory: IProtocolFactory) -> Deferred[IProtocol]:
-        """Connect as soon as the budget allows it.
+        """Connect as soon as the budget allows another connection attempt.
 
         :raises ConnectionRefusedByBudgetError: if the budget is exhausted.
         """
--- a/packages/daemon/src/sycamorenotch_daemon/_dispatch.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_dispatch.py
@@ -50,7 +50,7 @@
             return Error(Failure(ErrorKind.DEADLINE_PASSED, detail, Ran.NO))
         chooser = self._upstreams.choice(call.route.service)
         if chooser is None:
-            return _no_worker("the service is not configured")
+            return _no_worker("the service is not in the configuration in force")
         choice = chooser.choose(now, frozenset(call.tried))
         if choice is None:
             return _no_worker("no worker of the service can accept the call")
@@ -82,11 +82,11 @@
         return self._verify(call, result.ok, worker.name)
 
     def _verify(self, call: Call, answer: CallAnswer, worker: str) -> CallResult:
-        detail = f"{worker}: {len(answer.body)} of {answer.length} bytes"
+        detail = f"{worker} sent {len(answer.body)} of {answer.length} bytes"
         belongs = answer.belongs_to(call)
         if self._node.invariants.holds(Invariant.I4, belongs, detail):
             return Ok(answer)
-        violation = "the answer is incomplete or belongs to another request"
+        violation = "the worker's answer is incomplete or belongs to another request"
         return Error(Failure(ErrorKind.INVARIANT, violation, Ran.UNKNOWN))
 
     def _record_outcome(self, call: Call, worker: str, result: AttemptResult) -> None:
--- a/packages/daemon/src/sycamorenotch_daemon/_health_poll.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_health_poll.py
@@ -1,4 +1,4 @@
-"""Polls the health endpoints of the workers that this instance uses."""
+"""Polls the health and load endpoints of the workers that the instance uses."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from sycamorenotch_kernel import health_signals
 
 POLL_TIMEOUT = timedelta(seconds=1)
-MIN_INTERVAL = timedelta(milliseconds=20)
+MIN_POLL_INTERVAL = timedelta(milliseconds=20)
 MAX_ROUND_DURATION = timedelta(seconds=2)
 # A leaving worker is detected within a third of the bound for new requests.
 ROUNDS_PER_LEAVING_BOUND = 3
-IDLE_INTERVAL = timedelta(seconds=1)
+NO_WORKERS_INTERVAL = timedelta(seconds=1)
 MAX_REPORT_BYTES = 4096
 
 
@@ -50,7 +50,7 @@
 
     async def start(self) -> None:
         """Schedule the first poll."""
-        self._schedule(MIN_INTERVAL)
+        self._schedule(MIN_POLL_INTERVAL)
 
     async def stop(self) -> None:
         """Stop polling and cancel the polls in flight."""
@@ -70,7 +70,7 @@
             self._remaining_workers = list(self._upstreams.nearby())
             self._node.random.shuffle(self._remaining_workers)
         if not self._remaining_workers:
-            self._schedule(IDLE_INTERVAL)
+            self._schedule(NO_WORKERS_INTERVAL)
             return
         worker = self._remaining_workers.pop()
         polling = Deferred.fromCoroutine(self._poll(worker))
@@ -83,7 +83,7 @@
         assert current is not None
         bound = current.environment.bounds.leaving / ROUNDS_PER_LEAVING_BOUND
         workers = max(1, len(self._upstreams.nearby()))
-        return max(MIN_INTERVAL, min(MAX_ROUND_DURATION, bound) / workers)
+        return max(MIN_POLL_INTERVAL, min(MAX_ROUND_DURATION, bound) / workers)
 
     async def _poll(self, worker: Worker) -> None:
         for signal in self._signals:
--- a/packages/daemon/src/sycamorenotch_daemon/_health_signals.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_health_signals.py
@@ -19,7 +19,7 @@
 class HealthSignal(Protocol):
     """A polled endpoint of the workers.
 
-    Implementations register themselves as ``health_signals``.
+    Implementations register themselves in the registry ``health_signals``.
     """
 
     path: str
@@ -52,7 +52,7 @@
 @health_signals.register("state")
 @final
 class StateSignal:
-    """Signal whether a worker is leaving."""
+    """Reads whether a worker is leaving."""
 
     path = "/health"
 
@@ -67,7 +67,7 @@
 @health_signals.register("load")
 @final
 class LoadSignal:
-    """Signal how many slots of a worker are in use."""
+    """Reads how many slots of a worker are in use."""
 
     path = "/load"
 
--- a/packages/daemon/src/sycamorenotch_daemon/_strike_exchange.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_strike_exchange.py
@@ -1,4 +1,7 @@
-"""Exchange of quarantine strikes between the instances."""
+"""Exchange of quarantine strikes between the instances.
+
+A strike records that a worker was lost while it ran a request.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 from sycamorenotch_policies import Strike
 
 EXCHANGE_INTERVAL = timedelta(milliseconds=500)
-STRIKES_PER_MESSAGE = 16
+MAX_STRIKES_PER_MESSAGE = 16
 MAX_SEEN_STRIKES = 4096
 
 
@@ -60,8 +63,8 @@
 class StrikeExchange:
     """Sends the strikes of this instance and forwards those that are new to it.
 
-    Each strike crosses each stream at most once in each direction, so that
-    flooding terminates.
+    Each strike crosses the stream between two instances at most once in each
+    direction, so that forwarding ends.
     """
 
     after: ClassVar[tuple[str, ...]] = ("peers", "calls")
@@ -93,7 +96,7 @@
             return
         now = self._node.clock.monotonic()
         strikes = quarantine.strikes_since(self._last_sent_sequence, now)[
-            :STRIKES_PER_MESSAGE
+            :MAX_STRIKES_PER_MESSAGE
         ]
         if strikes:
             self._last_sent_sequence = strikes[-1].sequence
@@ -102,7 +105,7 @@
     def _on_report(self, peer: PeerIdentity, report: StrikesReport) -> None:
         quarantine = self._node.find(Quarantine)
         new_strikes = [
-            s for s in report.strikes[:STRIKES_PER_MESSAGE] if self._is_new(s)
+            s for s in report.strikes[:MAX_STRIKES_PER_MESSAGE] if self._is_new(s)
         ]
         if quarantine is None or not new_strikes:
             return
--- a/packages/daemon/src/sycamorenotch_daemon/_upstream_client.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_upstream_client.py
@@ -44,7 +44,7 @@
 REQUEST_RAN_HEADER = b"Request-Ran"
 REQUEST_ID_HEADER = b"Request-Id"
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-MAX_IDLE_CONNECTIONS = 8
+MAX_IDLE_CONNECTIONS_PER_WORKER = 8
 # Shorter than the keep-alive timeout of common servers, so that a request is
 # rarely sent on a connection that its worker is about to close.
 IDLE_TIMEOUT_S = 20
@@ -128,7 +128,7 @@
         pool = HTTPConnectionPool(reactor)
         # Only the retry rule of a service may repeat a request.
         pool.retryAutomatically = False
-        pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS
+        pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS_PER_WORKER
         pool.cachedConnectionTimeout = IDLE_TIMEOUT_S
         self._pool = pool
         endpoints = BudgetedEndpoints(reactor, budget_for)
--- a/packages/daemon/src/sycamorenotch_daemon/_upstreams.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_upstreams.py
@@ -30,7 +30,7 @@
 @components.register("upstreams")
 @final
 class Upstreams:
-    """Keeps the choice of workers for each service of the configuration in force."""
+    """Keeps an upstream choice for each service and a connection budget per worker."""
 
     after: ClassVar[tuple[str, ...]] = ("configuration", "drains", "instances")
 
@@ -65,7 +65,10 @@
         return self._workers
 
     def nearby(self) -> tuple[Worker, ...]:
-        """Return the workers that this instance sends requests to."""
+        """Return the workers in the regions that this instance sends requests to.
+
+        A service without assigned regions uses the region of this instance.
+        """
         home = self._node.settings.region
         return tuple(
             worker
@@ -74,15 +77,21 @@
         )
 
     def choice(self, service: str) -> UpstreamChoice | None:
-        """Return the choice of a service of the configuration in force."""
+        """Return the upstream choice of a service, or none if it is not configured."""
         return self._choices.get(service)
 
     def budget(self, address: str) -> ConnectionBudget | None:
-        """Return the connection budget of a worker by its address."""
+        """Return the connection budget of a worker, or none if it is not configured.
+
+        :param address: host and port, separated by a colon.
+        """
         return self._budgets.get(address)
 
     def set_regions(self, service: str, weights: Mapping[str, float]) -> None:
-        """Set the share of a service's requests for each worker region."""
+        """Set the worker regions of a service.
+
+        :param weights: share of the requests by region.
+        """
         choice = self._choices.get(service)
         if choice is not None:
             choice.set_regions(weights)
--- a/packages/daemon/src/sycamorenotch_daemon/_worker_news.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_worker_news.py
@@ -64,7 +64,7 @@
 
 @final
 class FleetWorkers:
-    """Latest worker states reported by each instance."""
+    """Latest states of the workers, as reported by each instance."""
 
     def __init__(self) -> None:
         self._worker_states: dict[InstanceId, tuple[WorkerObservation, ...]] = {}
--- a/testing/daemon/calls/test_answer_invariant.py
+++ b/testing/daemon/calls/test_answer_invariant.py
@@ -19,7 +19,7 @@
         pytest.param(CallAnswer(200, (), b"who", "", 5), id="cut short"),
     ],
 )
-def test_answer_is_refused_when_client_accepts_a_wrong_one(
+def test_wrong_answer_is_refused_when_the_upstream_client_accepts_it(
     monkeypatch: pytest.MonkeyPatch, answer: CallAnswer
 ) -> None:
     async def send(self: UpstreamClient, *args: object) -> object:
--- a/testing/daemon/calls/test_stop.py
+++ b/testing/daemon/calls/test_stop.py
@@ -23,7 +23,7 @@
     run_in_reactor(example.stop())
 
 
-def test_stop_completes_calls_and_serves_until_cached_answers_expire(
+def test_calls_are_completed_and_served_until_cached_answers_expire_when_stopping(
     example, run_in_reactor
 ) -> None:
     (daemon,) = example.daemons
--- a/testing/daemon/calls/test_upstream_client.py
+++ b/testing/daemon/calls/test_upstream_client.py
@@ -15,8 +15,10 @@
 from sycamorenotch_policies import ConnectionBudget
 from sycamorenotch_policies import Outcome
 
-LIMIT = timedelta(seconds=5)
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nRequest-Id: d-1\r\n\r\nwhole"
+TIMEOUT = timedelta(seconds=5)
+COMPLETE_ANSWER = (
+    b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nRequest-Id: d-1\r\n\r\nwhole"
+)
 
 
 @pytest.fixture
@@ -32,15 +34,17 @@
 
 @pytest.fixture
 def send(client, upstream, make_call, make_worker, run_in_reactor):
-    def send(limit: timedelta = LIMIT):
+    def send(timeout: timedelta = TIMEOUT):
         worker = make_worker(upstream.address)
-        return run_in_reactor(client.send(make_call(), worker, limit))
+        return run_in_reactor(client.send(make_call(), worker, timeout))
 
     return send
 
 
 def test_complete_answer_is_forwarded_with_every_header(send, upstream) -> None:
-    upstream.answer = WHOLE.replace(b"\r\n\r\n", b"\r\nX-A: 1\r\nX-A: 2\r\n\r\n")
+    upstream.answer = COMPLETE_ANSWER.replace(
+        b"\r\n\r\n", b"\r\nX-A: 1\r\nX-A: 2\r\n\r\n"
+    )
     answer = send().ok
     assert (answer.status, answer.body) == (200, b"whole")
     assert answer.headers == (("X-A", "1"), ("X-A", "2"))
@@ -51,7 +55,9 @@
 
 
 def test_cookie_is_not_sent_when_another_caller_received_it(send, upstream) -> None:
-    upstream.answer = WHOLE.replace(b"\r\n\r\n", b"\r\nSet-Cookie: a=b\r\n\r\n")
+    upstream.answer = COMPLETE_ANSWER.replace(
+        b"\r\n\r\n", b"\r\nSet-Cookie: a=b\r\n\r\n"
+    )
     assert send().ok.headers == (("Set-Cookie", "a=b"),)
     send()
     assert b"cookie" not in upstream.requests[1].lower()
@@ -60,14 +66,14 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        pytest.param(WHOLE[:-1], id="cut"),
+        pytest.param(COMPLETE_ANSWER[:-1], id="cut"),
         pytest.param(b"HTTP/1.1 200 OK\r\n\r\nwhole", id="length-unknown"),
         pytest.param(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n",
             id="last-chunk-missing",
         ),
-        pytest.param(WHOLE.replace(b"d-1", b"d-2"), id="crossed"),
-        pytest.param(WHOLE[:30], id="headers-cut"),
+        pytest.param(COMPLETE_ANSWER.replace(b"d-1", b"d-2"), id="crossed"),
+        pytest.param(COMPLETE_ANSWER[:30], id="headers-cut"),
         pytest.param(b"nonsense\r\n\r\n", id="no-http"),
     ],
 )
@@ -93,7 +99,7 @@
 ) -> None:
     # Nothing listens on port 9 of the loopback interface.
     worker = make_worker("127.0.0.1:9")
-    error = run_in_reactor(client.send(make_call(), worker, LIMIT)).error
+    error = run_in_reactor(client.send(make_call(), worker, TIMEOUT)).error
     assert error.failure.stated_ran is Ran.NO
     assert not error.worker_lost
 
@@ -108,12 +114,12 @@
     assert error.outcome is Outcome.SHED
 
 
-async def until(condition) -> None:
+async def wait_until(condition) -> None:
     while not condition():
         await deferLater(reactor, 0.005)
 
 
-@pytest.mark.parametrize("answer", [b"", WHOLE[:-1]], ids=["silent", "half"])
+@pytest.mark.parametrize("answer", [b"", COMPLETE_ANSWER[:-1]], ids=["silent", "half"])
 def test_connection_is_closed_when_the_deadline_passes(
     send, upstream, run_in_reactor, answer: bytes
 ) -> None:
@@ -122,24 +128,24 @@
     assert error.failure.kind is ErrorKind.DEADLINE_PASSED
     assert error.failure.stated_ran is Ran.UNKNOWN
     assert error.outcome is Outcome.LATE
-    run_in_reactor(until(lambda: upstream.lost == 1))
+    run_in_reactor(wait_until(lambda: upstream.lost == 1))
 
 
-@pytest.mark.parametrize("answer", [b"", WHOLE[:-1]], ids=["silent", "half"])
+@pytest.mark.parametrize("answer", [b"", COMPLETE_ANSWER[:-1]], ids=["silent", "half"])
 def test_connection_is_closed_when_the_caller_disconnects(
     client, upstream, make_call, make_worker, run_in_reactor, answer: bytes
 ) -> None:
     upstream.answer = answer
 
     async def scenario() -> None:
-        sending = client.send(make_call(), make_worker(upstream.address), LIMIT)
+        sending = client.send(make_call(), make_worker(upstream.address), TIMEOUT)
         waiting = Deferred.fromCoroutine(sending)
-        await until(lambda: upstream.requests)
+        await wait_until(lambda: upstream.requests)
         waiting.cancel()
         error = (await waiting).error
         assert error.failure.kind is ErrorKind.CANCELLED
         assert error.failure.stated_ran is Ran.UNKNOWN
-        await until(lambda: upstream.lost == 1)
+        await wait_until(lambda: upstream.lost == 1)
 
     run_in_reactor(scenario())
 
@@ -152,19 +158,19 @@
     worker = make_worker(upstream.address)
 
     async def scenario() -> None:
-        first = Deferred.fromCoroutine(client.send(make_call(), worker, LIMIT))
-        await until(lambda: upstream.requests)
-        refused = await client.send(make_call(), worker, LIMIT)
+        first = Deferred.fromCoroutine(client.send(make_call(), worker, TIMEOUT))
+        await wait_until(lambda: upstream.requests)
+        refused = await client.send(make_call(), worker, TIMEOUT)
         assert refused.error.failure.stated_ran is Ran.NO
         first.cancel()
         await first
-        await until(lambda: budget.open == 0)
+        await wait_until(lambda: budget.open == 0)
 
     run_in_reactor(scenario())
     assert upstream.opened == 1
 
 
 def test_connection_is_reused_when_answers_are_complete(send, upstream) -> None:
-    upstream.answer = WHOLE
+    upstream.answer = COMPLETE_ANSWER
     assert all(send().is_ok() for _ in range(3))
     assert upstream.opened == 1
--- a/testing/daemon/claims/test_claim_codec.py
+++ b/testing/daemon/claims/test_claim_codec.py
@@ -59,9 +59,9 @@
     assert decode_claim(msgpack.packb(fields)).is_error()
 
 
-def test_place_differs_when_service_or_key_differs() -> None:
-    places = {claim_location(s, k) for s in ("a", "b") for k in ("x", "y", "..")}
-    assert len(places) == 6
+def test_location_differs_when_service_or_key_differs() -> None:
+    locations = {claim_location(s, k) for s in ("a", "b") for k in ("x", "y", "..")}
+    assert len(locations) == 6
 
 
 def test_only_state_differs_when_a_claim_is_released_or_unknown() -> None:
--- a/testing/daemon/claims/test_claim_collector.py
+++ b/testing/daemon/claims/test_claim_collector.py
@@ -20,7 +20,7 @@
 from sycamorenotch_policies import Claim
 from sycamorenotch_policies import ClaimState
 
-EXPIRED = 25
+EXPIRED_CLAIMS = 25
 
 
 class OneInstance:
@@ -59,28 +59,28 @@
         fleet.table.create(claim_kind(0), name, encode_claim(claim))
 
 
-def names(fleet: Any) -> list[str]:
+def claim_names(fleet: Any) -> list[str]:
     return [stored.name for stored in fleet.table.list(claim_kind(0))]
 
 
 def test_only_expired_claims_are_removed_in_bounded_steps(
     fleet: Any, collector: ClaimCollector
 ) -> None:
-    store_claims(fleet, EXPIRED, timedelta(days=2), "first")
+    store_claims(fleet, EXPIRED_CLAIMS, timedelta(days=2), "first")
     store_claims(fleet, 2, timedelta(), "second")
     fleet.advance_time(6)
-    assert len(names(fleet)) == EXPIRED + 2 - 10
+    assert len(claim_names(fleet)) == EXPIRED_CLAIMS + 2 - 10
     fleet.advance_time(30)
-    assert names(fleet) == ["second.0.0", "second.0.1"]
+    assert claim_names(fleet) == ["second.0.0", "second.0.1"]
 
 
-def test_no_claim_is_removed_when_only_own_claims_show_the_time(
+def test_no_claim_is_removed_when_only_the_collector_has_recent_claims(
     fleet: Any, collector: ClaimCollector
 ) -> None:
     store_claims(fleet, 3, timedelta(days=2), "second")
     store_claims(fleet, 3, timedelta(), "first")
     fleet.advance_time(60)
-    assert len(names(fleet)) == 6
+    assert len(claim_names(fleet)) == 6
 
 
 def test_nothing_is_listed_when_the_lease_is_not_held(
--- a/testing/daemon/claims/test_claim_stage.py
+++ b/testing/daemon/claims/test_claim_stage.py
@@ -105,7 +105,7 @@
     assert fleet.upstream.by_key == {"key": 1}
 
 
-def test_repeat_at_same_instance_is_unknown_when_store_went_down(
+def test_repeat_at_same_instance_is_not_refused_as_not_run_when_store_went_down(
     fleet: Any, loss: Any
 ) -> None:
     fleet.send(fleet.first)
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize("name", ["CUT", "CROSSED", "LATE", "LOST"])
-def test_repeat_is_refused_as_unknown_when_answer_was_incomplete(
+def test_repeat_is_refused_as_unknown_at_once_when_answer_was_not_usable(
     fleet: Any, outcome: Any, name: str
 ) -> None:
     fleet.upstream.outcomes.append(outcome[name])
@@ -234,7 +234,7 @@
     assert fleet.upstream.by_key.total() == 600
 
 
-def test_request_runs_once_when_two_instances_draw_one_attempt_identifier(
+def test_request_runs_once_when_two_instances_draw_the_same_identifiers(
     fleet: Any,
 ) -> None:
     fleet.second.node.random.setstate(fleet.first.node.random.getstate())
