--- a/packages/daemon/src/sycamorenotch_daemon/_health_poll.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_health_poll.py
@@ -67,7 +67,7 @@
 
     def _poll_next(self) -> None:
         if not self._remaining_workers:
-            self._remaining_workers = list(self._upstreams.nearby())
+            self._remaining_workers = list(self._upstreams.target_workers())
             self._node.random.shuffle(self._remaining_workers)
         if not self._remaining_workers:
             self._schedule(NO_WORKERS_INTERVAL)
@@ -82,7 +82,7 @@
         current = self._node.configuration.current
         assert current is not None
         bound = current.environment.bounds.leaving / ROUNDS_PER_LEAVING_BOUND
-        workers = max(1, len(self._upstreams.nearby()))
+        workers = max(1, len(self._upstreams.target_workers()))
         return max(MIN_POLL_INTERVAL, min(MAX_ROUND_DURATION, bound) / workers)
 
     async def _poll(self, worker: Worker) -> None:
--- a/packages/daemon/src/sycamorenotch_daemon/_upstreams.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_upstreams.py
@@ -64,7 +64,7 @@
         """Every worker of the configuration in force, by name."""
         return self._workers
 
-    def nearby(self) -> tuple[Worker, ...]:
+    def target_workers(self) -> tuple[Worker, ...]:
         """Return the workers in the regions that this instance sends requests to.
 
         A service without assigned regions uses the region of this instance.
