--- a/packages/daemon/src/sycamorenotch_daemon/_admission_stage.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_admission_stage.py
@@ -50,7 +50,7 @@
 @final
 @dataclass(frozen=True, slots=True)
 class _DisciplineInputs:
-    """Inputs of a discipline, which is built anew when one of them changes."""
+    """Inputs of a discipline; a change of one of them creates a new discipline."""
 
     name: str
     ranks: tuple[RankPolicy, ...]
@@ -76,6 +76,7 @@
         self._granted: set[str] = set()
         self._inputs: dict[str, _DisciplineInputs] = {}
         self._discipline_by_ticket: dict[str, AdmissionDiscipline] = {}
+        # Decisions whose waiting call has not resumed yet.
         self._decided: dict[str, AdmissionDecision] = {}
         self._waiting: dict[str, Deferred[AdmissionDecision]] = {}
         self._expiry_timer = LoopingCall(self._expire)
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_codec.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_codec.py
@@ -53,7 +53,7 @@
         if self.format != CLAIM_FORMAT_VERSION:
             raise ValueError(f"unknown claim format {self.format}")
         if (self.state is ClaimState.DONE) != (self.answer is not None):
-            raise ValueError("a claim has an answer exactly if its state is done")
+            raise ValueError("a claim has an answer if and only if its state is done")
         return self
 
 
--- a/packages/daemon/src/sycamorenotch_daemon/_claim_settler.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_claim_settler.py
@@ -46,6 +46,7 @@
 class Settlement:
     """Final state of an attempt's claim that is not yet stored.
 
+    :param claim: the claim in its final state.
     :param expected: version to replace; none if it must be read first.
     :param created_at: time of creation on the monotonic clock.
     :param detail: reason why the store has not confirmed the state.
@@ -108,6 +109,7 @@
     ) -> None:
         """Settle a claim, or defer it if the store does not confirm it in time.
 
+        :param claim: the claim in its final state.
         :param expected: version to replace; none if it must be read first.
         :param timeout: maximum time to wait for the store.
         """
@@ -126,7 +128,10 @@
     def settle_later(
         self, handle: ClaimHandle, claim: Claim, expected: Version | None
     ) -> None:
-        """Settle the claim of an interrupted call in the background."""
+        """Settle the claim of an interrupted call in the background.
+
+        :param expected: version to replace; none if it must be read first.
+        """
         now = self._node.clock.monotonic()
         self._defer(
             Settlement(handle, claim, expected, now, "the call was interrupted")
--- a/packages/daemon/src/sycamorenotch_daemon/_upstream_client.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_upstream_client.py
@@ -241,7 +241,7 @@
     def _exchange_failed(self, exc: Exception) -> AttemptResult:
         if self._expired or _was_cancelled(exc):
             return self._interrupted(Ran.UNKNOWN)
-        detail = f"{self._worker.name} failed: {type(exc).__name__}"
+        detail = f"exchange with {self._worker.name} failed: {type(exc).__name__}"
         failure = Failure(ErrorKind.UPSTREAM_FAILED, detail, Ran.UNKNOWN)
         lost = isinstance(exc, CONNECTION_LOST_ERRORS) and not self._response_started
         return Error(AttemptFailure(failure, Outcome.FAILED, worker_lost=lost))
--- a/packages/daemon/src/sycamorenotch_daemon/_worker_news.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_worker_news.py
@@ -16,8 +16,10 @@
 from sycamorenotch_policies import WorkerReport
 from sycamorenotch_policies import WorkerState
 
+# Messages carry loads and failure shares as integers in thousandths.
 SHARE_SCALE = 1000
 MILLISECOND = timedelta(milliseconds=1)
+# Load in a message for a worker that has sent no load report.
 NO_LOAD = -1
 
 
