--- a/packages/daemon/src/sycamorenotch_daemon/_metrics.py
+++ b/packages/daemon/src/sycamorenotch_daemon/_metrics.py
@@ -46,7 +46,7 @@
         )
         self.latency = Histogram(
             "sycamorenotch_call_seconds",
-            "Time from the last received byte of a call to its answer.",
+            "Time from a call's last byte in to its answer.",
             buckets=LATENCY_BUCKETS_S,
             **registry_argument,
         )
