--- a/packages/workbench/src/sycamorenotch_workbench/_bench_results.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_bench_results.py
@@ -43,12 +43,13 @@
     :ivar measured_s: duration of the measurement in seconds.
     :ivar result_counts: number of requests by service, rank and result.
     :ivar latencies: latency of answered requests in microseconds.
-    :ivar region_utilisation: highest utilisation of the slots of a region.
-    :ivar link_utilisation: highest utilisation of a link.
+    :ivar region_utilisation: highest ratio of attempts in flight to slots of the live
+        workers of one region and service.
+    :ivar link_utilisation: highest utilisation of a link in any second.
     :ivar shift: highest share of a service's traffic shifted within a window.
     :ivar drain_s: time in seconds until drained workers were idle, if any drained.
     :ivar late_starts: number of attempts dispatched after the leaving time.
-    :ivar violations: number of violated invariants.
+    :ivar violations: number of invariant violations.
     :ivar plan_us: mean time to make a plan, in microseconds.
     """
 
@@ -111,7 +112,7 @@
         return worth / self.measured_s
 
     def max_goodput(self) -> float:
-        """Return the upper bound of goodput, with all slots on the highest worth."""
+        """Return the goodput if every slot ran the most valuable requests offered."""
         return sum(map(self._max_goodput_of, self.environment.services))
 
     def _max_goodput_of(self, service: str) -> float:
--- a/packages/workbench/src/sycamorenotch_workbench/_golden_record.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_golden_record.py
@@ -92,7 +92,7 @@
         """Call a function several times at equal intervals.
 
         :param count: number of calls.
-        :param duration: time that the calls are spread over.
+        :param duration: virtual time that the calls are spread over.
         :param send: function that gets the number of the call, from 0.
         """
         for number in range(count):
--- a/packages/workbench/src/sycamorenotch_workbench/_soak_machine.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_soak_machine.py
@@ -197,7 +197,7 @@
         duration=durations,
     )
     def cut_regions(self, first: str, second: str, duration: timedelta) -> None:
-        """Partition two regions for a duration."""
+        """Partition two regions; the heal after the duration ends every partition."""
         if first != second:
             self._step("regions cut")
             network = self.system.network
@@ -316,7 +316,8 @@
         self.protected_requests_run_at_most_once()
         self.answers_are_correct()
         for name in INSTANCES:
-            # No rule sends this path, so it cannot be quarantined.
+            # No rule sends this path, so no worker has crashed on it and it cannot
+            # be quarantined.
             reply = self.system.call(name, "GET", "/v1/call/lookup/urgent/new")
             assert reply.status == 200, f"{name} has not recovered: {reply}"
         self.no_invariant_is_violated()
--- a/packages/workbench/src/sycamorenotch_workbench/_virtual_host.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_virtual_host.py
@@ -148,7 +148,8 @@
         port = self._host.network.listeners.get(key)
         network = self._host.network
         if port is None:
-            # No host has the address; the refusal still takes a round trip.
+            # Nothing listens on the address. A refusal takes a round trip, for which
+            # the latency of the own location stands in.
             network.send(self._host, self._host, self._refuse)
             return
         network.send(self._host, port.host, lambda: self._accept(key))
--- a/packages/workbench/src/sycamorenotch_workbench/_virtual_system.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_virtual_system.py
@@ -247,13 +247,13 @@
                 token_file=self._token_file,
             )
         )
-        surroundings = ProcessDependencies(
+        dependencies = ProcessDependencies(
             clock=ReactorClock(host),
             random=Random(self._random.getrandbits(64)),
             sink=_EventRecorder(name, host, self.recorded_events),
             strict=self._strict,
         )
-        daemon = build_daemon(settings, host, surroundings)
+        daemon = build_daemon(settings, host, dependencies)
         Deferred.fromCoroutine(daemon.start())
         return host, daemon
 
--- a/packages/workbench/src/sycamorenotch_workbench/_virtual_transport.py
+++ b/packages/workbench/src/sycamorenotch_workbench/_virtual_transport.py
@@ -103,7 +103,10 @@
             self.host.callLater(0, self._connection_lost, Failure(ConnectionAborted()))
 
     def abandon(self) -> None:
-        """Close only the other end; used when this process is killed."""
+        """Close only the other end.
+
+        Used when this process is killed or the attempt to connect has ended.
+        """
         self._close_peer(Failure(ConnectionLost()))
         self.connected = False
 
--- a/packages/workbench/src/sycamorenotch_workbench/claim_costs.py
+++ b/packages/workbench/src/sycamorenotch_workbench/claim_costs.py
@@ -221,12 +221,13 @@
 def main() -> None:
     """Print the costs and the round rates that the store's write limit allows."""
     load_plugins()
-    print(f"store calls for each round, {ROUNDS} rounds, seed {SEED}")
+    print(f"store calls per round, {ROUNDS} rounds, seed {SEED}")
     for cost in map(measure, SCENARIOS):
         calls = ", ".join(f"{kind} {count:.2f}" for kind, count in cost.calls.items())
         rate = WRITES_PER_SECOND / cost.writes
         print(
-            f"{cost.scenario:18} {calls:40} {rate:6.0f} rounds/s in {WRITES_PER_SECOND}"
+            f"{cost.scenario:18} {calls:40} {rate:6.0f} rounds/s"
+            f" at {WRITES_PER_SECOND} writes/s"
         )
 
 
--- a/packages/workbench/src/sycamorenotch_workbench/run.py
+++ b/packages/workbench/src/sycamorenotch_workbench/run.py
@@ -13,7 +13,7 @@
 
 from sycamorenotch_workbench._example import LocalExample
 
-# The README names these paths for the operators' commands.
+# The README names these paths, so that operators' commands find the token.
 STATE_DIRECTORY = Path("build/local")
 FLAG_FILE = STATE_DIRECTORY / "flags"
 EXIT_START_FAILED = 3
--- a/testing/workbench/test_broken_mechanisms.py
+++ b/testing/workbench/test_broken_mechanisms.py
@@ -60,7 +60,7 @@
     assert violations(system, Invariant.I8) == 1
 
 
-def test_slots_are_withheld_when_a_rank_is_never_chosen(
+def test_floor_violation_is_recorded_when_deferrable_rank_is_never_chosen(
     system: VirtualSystem, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     choose = RankedAdmission._next_rank
